--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -1,4 +1,4 @@
-//! Events that the reducer of direct dispatch takes and effects that it gives.
+//! Events that the reducer of direct dispatch processes, and effects that it returns.
 
 use std::{
     net::SocketAddr,
@@ -20,527 +20,534 @@
     rollout::{Order, Report, Step, Version},
 };
 
-/// Number of a request in this process.
+/// Number that identifies a request within this process.
 pub type Ticket = u64;
 
-/// The time, by two clocks.
+/// The current time, read from two monotonic clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Doesn't count the time for which the host was suspended.
+    /// Monotonic time without the time for which the host was suspended.
     pub steady: Instant,
-    /// Time since the host started, suspensions included.
+    /// Time since the host booted, including the time for which it was suspended.
     pub boot: Duration,
 }
 
-/// Tokens of a request, as its caller states them.
+/// Token counts that a caller states for its request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Tokens {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub output: u32,
 }
 
-/// A request that arrived whole.
+/// A request of which headers and body were received completely.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number here.
+    /// Number that identifies the request within this process.
     pub ticket: Ticket,
-    /// Its id, as its caller gave it.
+    /// Request ID that the caller sent.
     pub id: String,
-    /// Host name that it asks for.
+    /// Host name that the caller requests; selects the route together with the path.
     pub host: String,
-    /// Its path, without the query.
+    /// Path of the request's URL, without the query string.
     pub path: String,
-    /// The key that it bears.
+    /// API key that the caller sent; `None` for a request without one.
     pub key: Option<String>,
-    /// Time for which its caller waits.
+    /// Time for which the caller waits for the answer; `None` where the caller sent no deadline.
     pub patience: Option<Duration>,
-    /// Its tokens, where it says them.
+    /// Token counts that the caller states; `None` where the request has none.
     pub tokens: Option<Tokens>,
-    /// Tokens of the answer that its caller expects, which may be far off.
+    /// Number of tokens that the caller expects in the answer; a hint that may be far off.
     pub expected: Option<u32>,
-    /// Fingerprint of its path, caller and body.
+    /// Fingerprint of path, caller and body; requests with equal fingerprints are counted as the same
+    /// content when they crash targets.
     pub fingerprint: Fingerprint,
-    /// Spread evenly over requests.
+    /// Number derived from the request ID, distributed evenly over requests. It replaces a random number
+    /// in all choices that split requests, such as the choice of a pool by weight.
     pub draw: u64,
 }
 
-/// What became of one dispatch.
+/// Result of one dispatch of a request to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer went to the caller.
+    /// The complete answer was passed to the caller.
     Done,
-    /// The target says that it did not run the request.
+    /// The target rejected the request and states that it did not run it.
     Rejected,
-    /// Another target has the address, which says that it did not run the request.
+    /// Another target now listens at the address; it rejected the request without running it.
     Replaced,
-    /// No connection: the request wasn't sent.
+    /// No connection could be established, so the request wasn't sent.
     Unreached,
-    /// The target answered whole with a failure.
+    /// The target returned a complete answer with an error status.
     Failed,
-    /// No whole answer; it may have run. `crashed` where the connection broke off.
+    /// The answer ended incomplete; the request may have run.
     Lost {
-        /// Whether the connection broke off, as it does when a target dies.
+        /// Whether the connection was closed or reset, as happens when a target crashes.
         crashed: bool,
     },
-    /// Nothing came for long, and it was left for another target; it may run.
+    /// The target sent nothing for too long and the dispatch was cancelled in favour of another target;
+    /// the silent target may still run the request.
     Silent,
-    /// The time was over; it may have run.
+    /// The request's deadline passed during the dispatch; the request may have run.
     Expired,
 }
 
 impl Outcome {
-    /// Whether the target may have run the request.
+    /// Returns whether the target may have run the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::Replaced | Outcome::Unreached)
     }
 }
 
-/// Start of a target in milliseconds, by its own clock, so that it compares with other starts of the
-/// same target only; 0 where it isn't known.
+/// Time in milliseconds at which a target last started, by the target's own clock: it is comparable only
+/// with other incarnations of the same target. 0 where the time isn't known.
 pub type Incarnation = u64;
 
-/// A target, as the platform lists it.
+/// A target as it stands in the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// Its name, which it may keep when it starts again.
+    /// Name of the target; a restarted target may keep the name.
     pub name: TargetName,
-    /// Its last start: nothing that was known of it before holds after that.
+    /// Last start of the target: all state that was learnt about earlier incarnations is discarded.
     #[serde(default)]
     pub incarnation: Incarnation,
-    /// Its pool.
+    /// Pool to which the target belongs.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Address at which the target listens for requests.
     pub address: SocketAddr,
-    /// Where an agent beside it may listen; `None` where there is surely none.
+    /// Address at which an agent on the target's host may listen; `None` where there is certainly none.
     #[serde(default)]
     pub agent: Option<SocketAddr>,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the target accepts new requests.
     pub ready: bool,
-    /// Version of its software.
+    /// Version of the target's software.
     #[serde(default)]
     pub version: Version,
 }
 
-/// An entry process that the platform's service names.
+/// Address of an entry process, read from the platform's service or from the settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Introduction {
-    /// Where it listens for the others.
+    /// Address at which the process listens for other entry processes.
     pub address: SocketAddr,
-    /// Changes each time it makes itself known there; 0 where it isn't known to have done so.
+    /// Value that changes each time the process registers with the platform's service; 0 where no
+    /// registration is known.
     pub stamp: u64,
 }
 
-/// Why a reservation ended without room.
+/// Reason why a reservation ended without a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Lapse {
-    /// The agent isn't reached, or is leaving.
+    /// The agent is unreachable or is draining.
     Away,
-    /// The agent doesn't reach its target.
+    /// The agent can't reach its target.
     Unreached,
-    /// The request waited for too long.
+    /// The reservation timed out, or the agent denied it for another reason.
     Late,
 }
 
-/// What happened.
+/// An input of the reducer: something that happened outside it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request arrived whole.
+    /// A request was received completely.
     Arrived(Request),
-    /// An agent has room for a request, and keeps it until the reservation is withdrawn.
+    /// An agent granted a slot to a request and holds it until the reservation is withdrawn.
     Granted {
-        /// The request.
+        /// Request for which the slot was reserved.
         ticket: Ticket,
-        /// Which of its reservations.
+        /// Number of the reservation among those of the request.
         number: u32,
-        /// What the agent says of its load.
+        /// Load that the agent reported with the grant.
         load: Load,
     },
-    /// A reservation ended without room.
+    /// A reservation ended without a slot.
     Denied {
-        /// The request.
+        /// Request for which the slot was to be reserved.
         ticket: Ticket,
-        /// Which of its reservations.
+        /// Number of the reservation among those of the request.
         number: u32,
-        /// Why.
+        /// Reason why no slot was granted.
         lapse: Lapse,
     },
-    /// The first event or the head of an answer came.
+    /// The first event of a stream, or the head of another answer, was received.
     Began {
-        /// The request.
+        /// Request whose answer began.
         ticket: Ticket,
     },
-    /// An answer names its target's rate limit.
+    /// An answer states its target's rate limit.
     Limited {
-        /// The request.
+        /// Request whose answer states the limit.
         ticket: Ticket,
-        /// Requests a second that the target takes from all processes together; not negative.
+        /// Requests per second that the target accepts from all processes together; not negative.
         per_second: f64,
     },
-    /// The target of a dispatch has been silent for as long as its [`Start`] says; its answer is still
-    /// waited for.
+    /// The target of a dispatch has sent nothing for as long as the [`Start`] allows; the dispatch still
+    /// waits for the answer.
     Quiet {
-        /// The request.
+        /// Request whose target is silent.
         ticket: Ticket,
-        /// Whether a part of the answer went to the caller.
+        /// Whether a part of the answer was passed to the caller.
         begun: bool,
     },
-    /// A target that was silent goes on with its answer.
+    /// A target that was silent continues its answer.
     Spoke {
-        /// The request.
+        /// Request whose answer continues.
         ticket: Ticket,
     },
-    /// A dispatch ended.
+    /// A dispatch of a request ended.
     Ended {
-        /// The request.
+        /// Request that was dispatched.
         ticket: Ticket,
-        /// How.
+        /// Result of the dispatch.
         outcome: Outcome,
-        /// Whether a part of the answer went to the caller.
+        /// Whether a part of the answer was passed to the caller.
         begun: bool,
-        /// Events of a stream that came in this dispatch.
+        /// Number of events of a stream that were received in this dispatch.
         events: u32,
     },
-    /// The caller left.
+    /// The caller closed its connection before the request ended.
     Left {
-        /// The request.
+        /// Request of that caller.
         ticket: Ticket,
-        /// Events of a stream that came in its last dispatch.
+        /// Number of events of a stream that were received in the last dispatch.
         events: u32,
     },
-    /// A configuration was read.
+    /// A configuration was read from the platform.
     Planned(Arc<Plan>),
-    /// A roll-out that the operator orders.
+    /// The operator ordered a rollout.
     Ordered(Order),
-    /// The operator took the order for a pool back.
+    /// The operator withdrew the rollout order for a pool.
     Withdrawn {
-        /// The pool.
+        /// Pool whose order is withdrawn.
         pool: PoolName,
-        /// Where that stands.
+        /// Position of the withdrawal in the platform's stream of records.
         position: Position,
     },
-    /// What the platform's service says of roll-outs.
+    /// Reports on rollouts were read from the platform's service.
     Reported(Vec<Report>),
-    /// The platform was asked for the newest configuration.
+    /// The platform answered a read of the newest configuration.
     Confirmed {
-        /// Time of the boot clock at which it had nothing newer.
+        /// Time by the boot clock ([`Now::boot`]) at which the platform had no newer version.
         boot: Duration,
-        /// Version of the newest that it had; 0 where it had none.
+        /// Version of the platform's newest configuration; 0 where it has none.
         version: u64,
-        /// The platform's era.
+        /// Era of the platform's service at the time of the read.
         era: Era,
     },
-    /// The targets that the platform lists were read.
+    /// The platform's list of targets was read.
     Listed(Listing),
-    /// The platform answered a read of its list, whether or not that changed.
+    /// The platform answered a read of its list of targets, whether or not the list changed.
     ListAnswered,
-    /// Another process told what it has.
+    /// Another entry process offered what it has.
     Offered {
-        /// Where it listens.
+        /// Address at which the other process listens.
         peer: SocketAddr,
-        /// What it offers.
+        /// Versions of what the other process has.
         offer: Offer,
     },
-    /// A fetch from another process ended.
+    /// A fetch from another entry process ended.
     Fetched {
-        /// Where that listens.
+        /// Address at which the other process listens.
         peer: SocketAddr,
-        /// What was asked for.
+        /// Topic that was fetched.
         topic: Topic,
-        /// What it gave; `None` where it gave nothing or the fetch failed.
+        /// Content that was fetched; `None` where the other process returned nothing or the fetch failed.
         news: Option<News>,
     },
-    /// Entry processes that the platform's service names.
+    /// Addresses of entry processes became known, from the platform's service or from the settings.
     Introduced(Vec<Introduction>),
-    /// What another entry process says of itself and of others.
+    /// Rows about itself and others were received from another entry process.
     Heard(Vec<Row>),
-    /// A target was asked whether it takes connections.
+    /// A probe whether a target accepts connections ended.
     Probed {
-        /// The target.
+        /// Target that was probed.
         target: TargetName,
-        /// Whether it does.
+        /// Whether the target accepted a connection.
         reached: bool,
     },
-    /// The process leaves: it takes only what surely ends before.
+    /// The process begins to drain: it accepts only requests whose deadlines are not after its end.
     Drain {
-        /// When it ends.
+        /// Time at which the process ends.
         end: Instant,
     },
-    /// Time has passed.
+    /// Time passed without another event; see [`next_wake`](super::next_wake).
     Tick,
 }
 
-/// Why a request gets no answer of a target.
+/// Reason why a request is refused instead of being answered by a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// No configuration is known, or it may be out of date.
+    /// No configuration is known, or the known one may be out of date.
     NotReady,
-    /// No route fits.
+    /// No route matches the request's host name and path.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     BadKey,
-    /// The account is beyond its limit.
+    /// The account exceeds its limit.
     Limit,
-    /// No target had room in time.
+    /// No target had a free slot in time.
     NoRoom,
-    /// The process is leaving.
+    /// The process is draining.
     Draining,
-    /// Its body crashed targets.
+    /// Requests with the same fingerprint crashed several targets.
     Quarantined,
-    /// The time was over and it has not run.
+    /// The deadline passed and the request has not run.
     Late,
-    /// The time was over and it may have run.
+    /// The deadline passed and the request may have run.
     Expired,
-    /// It may have run and can't be repeated.
+    /// The request may have run and can't be dispatched again.
     Lost,
-    /// Every dispatch failed before it ran.
+    /// Every dispatch failed before the request ran.
     Unserved,
 }
 
-/// What an account's limit lacked for a request.
+/// Shortage of an account's limit that led to a refusal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lack {
-    /// Units that the request counts for.
+    /// Units that the request needs, with those that have to stay in the bucket after it.
     pub units: f64,
-    /// Units that were left.
+    /// Units that were left in the bucket.
     pub left: f64,
-    /// Units a second that come back.
+    /// Units per second at which the bucket refills.
     pub rate: f64,
-    /// Processes among which the limit was parted.
+    /// Number of entry processes among which the limit is divided.
     pub among: u32,
-    /// Those of them whose parts this one may use, this one included.
+    /// Number of those processes, this one included, whose parts of the limit this process may use.
     pub together: u32,
 }
 
-/// An answer of our own.
+/// An error answer that this process sends in place of a target's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
     /// Whether the request provably did not run and never will.
     pub not_run: bool,
-    /// When to come back.
+    /// Time after which the caller may retry; `None` where no retry is suggested.
     pub retry_after: Option<Duration>,
-    /// What the account's limit lacked, where that is the reason.
+    /// Shortage of the account's limit; `None` unless `reason` is [`Reason::Limit`].
     pub lack: Option<Lack>,
 }
 
-/// What a refusal was decided from, for the log.
+/// Facts on which a refusal was based, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Grounds {
-    /// Route of the request; empty where none was found.
+    /// Name of the request's route; empty where no route was found.
     pub route: String,
-    /// Whose it is.
+    /// Account of the request; `None` for a public route or before the key was checked.
     pub account: Option<AccountName>,
-    /// Rank of its route.
+    /// Rank of the request's route, 0 being the highest; `None` where no route was found.
     pub tier: Option<u32>,
-    /// Tokens of the answer that its caller expects.
+    /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
     pub expected: Option<u32>,
-    /// Time since it arrived.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// Time for which it might wait for room.
+    /// Maximum time for which the request could wait for a slot, counted from its arrival.
     pub wait: Duration,
-    /// Targets of its pool that take requests, and those of them where its answer ends in time.
+    /// Number of targets of the pool that accept requests, and of those where the answer ends in time.
     pub fits: Fits,
-    /// Time that its caller still waits.
+    /// Time that is left until the request's deadline.
     pub left: Duration,
-    /// Whether a part of the answer went to the caller.
+    /// Whether a part of the answer was passed to the caller.
     pub begun: bool,
-    /// Targets that may have run it, and most that may.
+    /// Number of targets that may have run the request, and the maximum that the route allows.
     pub ran: (usize, u32),
-    /// Whether its body is refused.
+    /// Whether requests with this fingerprint are quarantined.
     pub quarantined: bool,
-    /// Requests that stood before it.
+    /// Number of requests ahead of this one in the queue of its pool.
     pub ahead: usize,
-    /// Slots of its pool that no process uses, by the last rows.
+    /// Number of slots in the pool that no process uses, according to the last rows of the others.
     pub free: u32,
-    /// Slots of its pool at targets that take requests.
+    /// Number of slots in the pool at targets that accept requests.
     pub slots: u32,
-    /// Age of the oldest row that counted.
+    /// Age of the oldest row that was considered; `None` where no other process's row is current.
     pub rows: Option<Duration>,
 }
 
-/// At how many targets an answer of some length ends in time.
+/// Number of targets at which an answer of a given length ends before its deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fits {
-    /// Targets of the pool that take such requests.
+    /// Number of targets of the pool that accept such requests.
     pub up: u32,
-    /// Those of them where the answer ends in time, or that are among the fastest.
+    /// Number of those targets at which the answer ends in time, or that are among the fastest.
     pub fitting: u32,
-    /// Those of them that are among the fastest, by what their agents say.
+    /// Number of those targets that are among the fastest, by the speeds that their agents report.
     pub fast: u32,
-    /// Time for a token at a target that counts as the fastest, in ms.
+    /// Time per token in ms at a target that counts as the fastest; `None` where no speed is known.
     pub fastest: Option<f64>,
 }
 
 impl Fits {
-    /// Part of the targets, from 0 to 1, where the answer doesn't end in time.
+    /// Returns the share of the targets, from 0 to 1, at which the answer doesn't end in time.
     pub fn closed(&self) -> f64 {
         if self.up == 0 { 0.0 } else { 1.0 - f64::from(self.fitting) / f64::from(self.up) }
     }
 }
 
-/// Everything that is needed to dispatch a request.
+/// Parameters of the dispatch of a request to a target.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// The request.
+    /// Request to dispatch.
     pub ticket: Ticket,
-    /// The target.
+    /// Target to which the request is dispatched.
     pub target: TargetName,
-    /// Where it listens.
+    /// Address at which the target listens.
     pub address: SocketAddr,
-    /// Whose the request is.
+    /// Account of the request; `None` on a public route.
     pub account: Option<AccountName>,
-    /// Rank of its route.
+    /// Rank of the request's route; 0 is the highest.
     pub tier: u32,
-    /// Whether it may be dispatched again after it may have run.
+    /// Whether the request may be dispatched again after it may have run.
     pub repeatable: bool,
-    /// When its time is over.
+    /// Deadline of the request.
     pub until: Instant,
     /// Whether the answer is a stream of events.
     pub stream: bool,
-    /// Silence of the target after which another is looked for, where the request may be dispatched
-    /// elsewhere.
+    /// Time without data from the target after which [`Event::Quiet`] is sent; `None` where the request
+    /// may not be dispatched again.
     pub silence: Option<Duration>,
-    /// Which dispatch of the request this is, from 1.
+    /// Number of this dispatch among those of the request, from 1.
     pub attempt: u32,
 }
 
-/// A place at a target's agent.
+/// A reservation to be made at a target's agent: a place in the queue for the target's slots.
 #[derive(Clone, Debug)]
 pub struct Reservation {
-    /// The request.
+    /// Request for which a slot is reserved.
     pub ticket: Ticket,
-    /// Which of its reservations, from 1; a number is never used twice.
+    /// Number of the reservation among those of the request, from 1; a number is never used twice.
     pub number: u32,
-    /// Where the agent listens.
+    /// Address at which the agent listens.
     pub agent: SocketAddr,
-    /// The target.
+    /// Target whose slot is reserved.
     pub target: TargetName,
-    /// Where that listens.
+    /// Address at which the target listens.
     pub address: SocketAddr,
-    /// Requests that it may have at once.
+    /// Number of requests that the target may have concurrently.
     pub slots: u32,
-    /// Whether the agent stands beside it.
+    /// Whether the agent runs on the target's host and can query the target; otherwise it is the agent of
+    /// another target, which all entry processes agreed on.
     pub beside: bool,
-    /// What was last heard of its rate limit; `None` where it never named one.
+    /// Last known rate limit of the target; `None` where the target never stated one.
     pub limit: Option<Limit>,
-    /// Its place among those that wait there, lowest first.
+    /// Priority among the reservations that wait at the agent; the lowest value goes first.
     pub rank: Rank,
-    /// Time for which it waits at most.
+    /// Maximum time for which the reservation waits.
     pub wait: Duration,
-    /// How much newer it counts than it is, where the newest of a tier goes first.
+    /// Time by which the request counts as newer than it is, for agents that serve the newest request of a
+    /// tier first.
     pub boost: Duration,
-    /// Tokens of the request.
+    /// Token counts of the request; the answer's count is the caller's expectation where there is one.
     pub tokens: Tokens,
 }
 
-/// What has to be done.
+/// An output of the reducer: an action that its driver has to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Reserve room at a target's agent; what becomes of it comes back as an event.
+    /// Reserve a slot at a target's agent. The result comes back as [`Event::Granted`] or
+    /// [`Event::Denied`].
     Reserve(Reservation),
-    /// Give a reservation up, or the room that it got.
+    /// Withdraw a reservation, or release the slot that it was granted.
     Withdraw {
-        /// The request.
+        /// Request of the reservation.
         ticket: Ticket,
-        /// Which of its reservations.
+        /// Number of the reservation among those of the request.
         number: u32,
     },
-    /// Dispatch a request.
+    /// Dispatch a request to a target.
     Start(Start),
-    /// End the dispatch of a request to a target that is silent: another has room for it.
+    /// Cancel the dispatch of a request to a silent target, since another target has a slot for it.
     Leave {
-        /// The request.
+        /// Request whose dispatch is cancelled.
         ticket: Ticket,
-        /// The target that has room.
+        /// Target that has a slot for the request.
         target: TargetName,
     },
-    /// End a request with an answer of our own, or by breaking its answer off where that began.
+    /// End a request with an error answer, or by closing the connection where the answer has begun.
     Refuse {
-        /// The request.
+        /// Request that is refused.
         ticket: Ticket,
-        /// What to answer.
+        /// Error answer to send.
         refusal: Refusal,
-        /// What it was decided from.
+        /// Facts on which the refusal was based, for the log.
         grounds: Box<Grounds>,
     },
-    /// Ask whether a target takes connections; the answer comes back as an event.
+    /// Probe whether a target accepts connections. The result comes back as [`Event::Probed`].
     Probe {
-        /// The target.
+        /// Target to probe.
         target: TargetName,
-        /// Where it listens.
+        /// Address at which the target listens.
         address: SocketAddr,
     },
-    /// Ask another process for what it offered; what it gives comes back as an event.
+    /// Fetch what another entry process offered. The result comes back as [`Event::Fetched`].
     Fetch {
-        /// Where it listens.
+        /// Address at which the other process listens.
         peer: SocketAddr,
-        /// What to ask for.
+        /// Topic to fetch.
         topic: Topic,
     },
-    /// Give the caller the failure that the target answered with.
+    /// End a request by passing the error answer of a target on to the caller.
     Pass {
-        /// The request.
+        /// Request that ends.
         ticket: Ticket,
     },
-    /// A change of what is believed, for the log.
+    /// Record a change of the reducer's state in the log.
     Note(Note),
 }
 
-/// A change of what is believed.
+/// A change of the reducer's state that is worth a log entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A configuration is in force.
+    /// Another configuration is in force.
     Planned {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
     },
-    /// The targets in use changed.
+    /// The set of targets in use was replaced by that of a newer list.
     Targets {
-        /// Targets that take requests.
+        /// Number of targets that accept requests.
         ready: usize,
-        /// Targets that are listed.
+        /// Number of targets in use, including those counted by `kept`.
         listed: usize,
-        /// Those of them that vanished from the list and are still used, since an outage just ended.
+        /// Number of targets that are missing in the list but still used, since an outage just ended.
         kept: usize,
-        /// Ready targets that take none since nobody ordered their version.
+        /// Number of ready targets that get no requests since no rollout to their version was ordered.
         unordered: usize,
     },
-    /// The configuration is known to be current again, or no longer.
+    /// The configuration is known to be current (`true`), or may be out of date (`false`).
     Fresh(bool),
-    /// All entry processes that may take requests are heard, or not all.
+    /// The number of entry processes whose parts of limits this one may use changed.
     Peers {
-        /// Those that are heard.
+        /// Number of other processes that may take requests and whose rows are current.
         heard: usize,
-        /// Those that may take requests.
+        /// Number of other processes that may take requests.
         expected: usize,
-        /// Those, with this one, whose parts of limits this one may use.
+        /// Number of processes, this one included, whose parts of limits this process may use.
         together: u32,
     },
-    /// A target started again under its name: what was known of it is forgotten.
+    /// A target restarted under its name; all state about its earlier incarnation was discarded.
     Restarted(TargetName),
-    /// A target names another rate limit than before.
+    /// A target's rate limit changed.
     Limited {
-        /// The target.
+        /// Target whose limit changed.
         target: TargetName,
-        /// Requests a second; `None` where it names none any more.
+        /// New limit in requests per second; `None` where the target no longer states one.
         per_second: Option<f64>,
     },
-    /// A target died while it ran requests of this process.
+    /// A target crashed while it ran requests of this process.
     Crashed {
-        /// The target.
+        /// Target that crashed.
         target: TargetName,
-        /// The requests.
+        /// Number of requests that it ran.
         bodies: u32,
     },
-    /// A body is refused from now on.
+    /// Requests with this fingerprint are refused from now on, since they crashed targets.
     Quarantined(Fingerprint),
-    /// A roll-out goes on.
+    /// A rollout made a step.
     Rollout(Box<Step>),
 }
