--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -309,7 +309,7 @@
 /// Shortage of an account's limit that led to a refusal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lack {
-    /// Units that the request needs, with those that have to stay in the bucket after it.
+    /// Units that have to be in the bucket for the request to be admitted.
     pub units: f64,
     /// Units that were left in the bucket.
     pub left: f64,
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -1,8 +1,9 @@
-//! The reducer of direct dispatch: requests go from the entry process straight to targets that
-//! have no agent beside them.
+//! The reducer of direct dispatch: entry processes send requests directly to targets. Where an agent admits
+//! requests to a target, a slot is reserved at the agent first (see [`capacity`]).
 //!
-//! A request waits here until a target has room, highest tier first, and is dispatched once. What
-//! may be repeated is dispatched again within the route's attempts and the pool's budget.
+//! A request waits in a queue until a target has a free slot, highest tier first, and is dispatched once.
+//! Requests that may be repeated are dispatched again if a dispatch fails, within the attempts that their
+//! route allows and the retry budget of their pool.
 
 mod admit;
 pub mod allowance;
@@ -54,121 +55,128 @@
 use relay::{Era, Known, Listing, Topic};
 use rollout::Rollouts;
 
-/// Gives the same in all processes.
+/// Hasher with a fixed seed: all entry processes compute the same hashes.
 const HASHER: BuildHasherDefault<DefaultHasher> = BuildHasherDefault::new();
-/// Time for which a target that vanished from the platform's list in an outage is still used:
-/// living ones are listed again within two seconds of the outage's end.
+/// Time after the end of an outage of the platform for which targets that are missing in its list are
+/// still used: live ones are listed again within two seconds of the outage's end.
 const RETURN: Duration = Duration::from_millis(2_200);
-/// Longest time between two answers of the platform that isn't an outage.
+/// Longest time between two answers of the platform that doesn't count as an outage.
 const SILENCE: Duration = Duration::from_millis(2_800);
-/// Crashes after which a body is refused.
+/// Number of target crashes after which requests with the same fingerprint are refused.
 const CRASHES: u32 = 2;
-/// Time within which a target that takes no connection is blamed on what it ran before.
+/// Time after a connection broke off in which a failed connection to the same target, or its restart, is
+/// counted as a crash caused by the request on that connection.
 const CRASH_WINDOW: Duration = Duration::from_secs(2);
-/// Part of a request's wait for which it may wait for units of its account's limit: whoever is refused
-/// then still comes back in time to be served.
+/// Share of a request's maximum wait that it may spend waiting for units of its account's limit: a caller
+/// that is refused then can still retry in time to be served.
 const LIMIT_WAIT_PART: f64 = 0.4;
-/// Longest time to come back in, where an account is beyond its limit, in seconds.
+/// Maximum retry time in seconds that is suggested to a caller whose account exceeds its limit.
 const LIMIT_RETRY_MAX: f64 = 30.0;
-/// Longest time to come back in, where no target has room.
+/// Maximum retry time that is suggested to a caller where no target has a free slot.
 const RETRY_MAX: Duration = Duration::from_secs(4);
-/// Time to come back in, where no target has room.
+/// Retry time that is suggested to a caller where the configuration is missing or may be out of date.
 const RETRY: Duration = Duration::from_millis(400);
-/// Part of the aim after which a request that still waits is refused: what is left is about the time
-/// to the first event. Later work earns a third at most and takes as much from what can be on time.
+/// Share of the route's target latency ([`Route::aim`](plan::Route::aim)) after which a request that still
+/// waits is refused. The remaining share is about the time to the first event. An answer after the target
+/// latency earns at most a third of the credit and takes as much capacity from requests that can be on time.
 const WAIT_PART: f64 = 0.75;
-/// Part of its wait from which on a request's account decides over its place.
+/// Share of a request's maximum wait after which its account's rank determines its place in the queue.
 const PROMOTE_PART: f64 = 0.75;
-/// Shortest time for which a request waits for room.
+/// Lower bound of the maximum wait for a slot, for routes with a small target latency.
 const WAIT_MIN: Duration = Duration::from_millis(250);
-/// Part of the time that is left in which a refused caller is told to come back: late enough for a
-/// burst to pass, early enough to be served then.
+/// Share of the time to the request's deadline that is suggested to a refused caller as its retry time:
+/// late enough for a burst to pass, early enough for the retry to be served.
 const RETRY_PART: f64 = 0.25;
-/// Shortest silence of a target after which a request that may be repeated waits for room at another.
+/// Minimum time without data from a target after which a request that may be repeated waits for a slot at
+/// another target.
 const SILENT: Duration = Duration::from_millis(500);
-/// The same in multiples of the time to the first event that was expected.
+/// Time without data from a target after which such a request waits for a slot at another target, in
+/// multiples of the expected time to the first event; at least [`SILENT`].
 const SILENT_TIMES: u32 = 4;
-/// Time for which a request that may have run waits for another target while nothing of its answer went to
-/// its caller, who may ask again itself after that.
+/// Time for which a request that may have run waits for another target while no part of its answer was
+/// passed to its caller; after that the caller may retry itself.
 const REPEAT_WAIT: Duration = Duration::from_millis(1_500);
-/// Time that is assumed where a caller doesn't say how long it waits.
+/// Deadline that is assumed for a request whose caller doesn't state one.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// What the reducer is told at its start.
+/// Settings of the reducer, fixed for the lifetime of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where this process listens for other entry processes.
+    /// Address at which this process listens for other entry processes.
     pub address: SocketAddr,
-    /// Differs with each start of the process.
+    /// Number that differs with each start of the process.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the process.
     pub zone: ZoneName,
-    /// Longest time since the configuration was known to be current for which keys count.
+    /// Maximum time since the configuration was last known to be current for which API keys are accepted.
     pub freshness: Duration,
-    /// Time after which a process that is silent can't take requests with a key any more.
+    /// Time after which another process that wasn't heard from can't accept requests with a key any more.
     pub gone: Duration,
-    /// What may be repeated.
+    /// Limits of the retry budget of each pool.
     pub repeats: budget::Rule,
-    /// How far accounts may pass their limits.
+    /// How far accounts may exceed their limits.
     pub tolerance: allowance::Tolerance,
-    /// Share of a pool's requests, from 0 to 1, that a version may get before it is found good.
+    /// Share of a pool's requests, from 0 to 1, that a new version may get before it is judged good.
     pub exposure: f64,
 }
 
-/// How old what is known of the platform is; `None` where nothing is known.
+/// Ages of what this process knows about the platform; `None` where it knows nothing.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ages {
-    /// Age of the last proof of this process that the configuration is current.
+    /// Time since this process last confirmed that its configuration is current.
     pub proof: Option<Duration>,
-    /// Time since the platform last answered this process or one that it hears.
+    /// Time since the platform last answered this process or another one that reported it.
     pub answered: Option<Duration>,
 }
 
-/// Everything that direct dispatch decides from.
+/// State of the reducer.
 #[derive(Clone, Debug)]
 pub struct State {
     settings: Settings,
-    /// When the process started.
+    /// Time at which the process started.
     opened: Instant,
     plan: Option<Arc<Plan>>,
-    /// Rank of the lowest tier of each pool that has several.
+    /// Rank of the lowest tier of each pool whose streams have several tiers.
     lowest: BTreeMap<PoolName, u32>,
-    /// The lowest rank that an account has.
+    /// Lowest rank that any account has, which is the highest number.
     lowest_account: u32,
-    /// When the plan was last known to be current, by the boot clock.
+    /// Time by the boot clock at which the configuration was last confirmed to be current.
     confirmed: Option<Duration>,
     fresh: bool,
-    /// When the platform last answered this process or one that it relies on, by the boot clock.
+    /// Time by the boot clock at which the platform last answered this process or another one that
+    /// reported it.
     answered: Option<Duration>,
-    /// When the platform's last outage ended.
+    /// Time at which the platform's last outage ended; `None` where there was none, or where another process
+    /// reported that the platform answered it meanwhile.
     outage: Option<Instant>,
-    /// The last list that was read or relayed.
+    /// Last list of targets that was read from the platform or fetched from another process.
     listing: Listing,
-    /// When the platform last answered a read of its list.
+    /// Time at which the platform last answered a read of its list of targets.
     list_answered: Option<Instant>,
-    /// What others have; of those only that are ahead of this process in something.
+    /// Versions that other processes offer, by their addresses; only of processes that have something
+    /// that this one lacks.
     offers: BTreeMap<SocketAddr, Known>,
-    /// What is being fetched from one of them.
+    /// Topics for which a fetch from another process is in flight.
     fetching: BTreeSet<Topic>,
-    /// Whether targets that vanished from it may still be used.
+    /// Whether targets that are missing in the list are still used, since an outage just ended.
     keeps_vanished: bool,
-    /// The platform's era.
+    /// Era of the platform's service; `None` before the first one was seen.
     era: Option<Era>,
-    /// When this process saw it begin; `None` for the first that it saw.
+    /// Time at which this process saw the era change; `None` for the first era that it saw.
     era_began: Option<Instant>,
-    /// Targets that are listed no more, their starts, and when they went.
+    /// Targets that left the list, with their incarnations and the times at which they left.
     left: BTreeMap<TargetName, (Incarnation, Instant)>,
-    /// Whether another process told what it has.
+    /// Whether any other process has sent an offer.
     heard_offer: bool,
     capacity: Capacity,
     requests: HashMap<Ticket, Pending>,
     waiting: BTreeMap<PoolName, BTreeSet<Order>>,
-    /// When requests that wait may be reserved at one more agent.
+    /// Times at which waiting requests may be reserved at one more agent.
     reserve_at: BTreeSet<Instant>,
-    /// Requests that wait for their account's limit.
+    /// Requests that wait for units of their account's limit.
     limited: BTreeMap<AccountName, BTreeSet<Order>>,
-    /// When the first of them may go on, as far as that is known: `None` where they have to be looked
-    /// through.
+    /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
+    /// has to be computed again.
     next_grant: Option<Instant>,
     timers: BTreeSet<(Instant, Ticket)>,
     accounts: BTreeMap<AccountName, Allowance>,
@@ -177,74 +185,77 @@
     rollouts: Rollouts,
     peers: Peers,
     place: Place,
-    /// Entry processes, this one included, whose rows are current.
+    /// Number of entry processes, this one included, whose rows are current.
     heard: u32,
-    /// Entry processes, this one included, whose parts of limits this one may use.
+    /// Number of entry processes, this one included, whose parts of limits this one may use.
     together: u32,
     sequence: u64,
     crashes: Crashes,
-    /// When counts of crashes may be fetched again.
+    /// Time from which crash counts may be fetched again.
     crashes_at: Option<Instant>,
-    /// Bodies whose connection broke off, by target, until it is known whether that died.
+    /// Requests whose connection broke off, until it is known whether their target crashed.
     lost: Vec<Loss>,
-    /// Targets that are asked whether they take connections, and their starts.
+    /// Targets for which a probe is in flight, with their incarnations.
     probing: BTreeMap<TargetName, Incarnation>,
-    /// When the process ends, once it leaves.
+    /// Time at which the process ends, once it drains.
     draining: Option<Instant>,
 }
 
-/// What a dispatch was decided from.
+/// Facts about a dispatch in flight, for the log and the metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// Id that the caller gave.
+    /// Request ID that the caller sent.
     pub id: &'a str,
-    /// Its route.
+    /// Name of the request's route.
     pub route: &'a str,
-    /// Time since it arrived.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// Requests of this process that the target has, this one included.
+    /// Number of requests of this process that are in flight at the target, this one included.
     pub running: u32,
-    /// Requests of the others that it has, by their last rows.
+    /// Number of requests of other processes that are in flight at the target, by their last rows or the
+    /// last report of the target's agent.
     pub elsewhere: u32,
-    /// Requests a second that the target was last heard to take, and the age of that; `None` where it
-    /// names no limit.
+    /// Rate limit of the target in requests per second, and the time since it was stated; `None` where the
+    /// target states no limit.
     pub limit: Option<(f64, Duration)>,
-    /// Version of the configuration.
+    /// Version of the configuration in force.
     pub plan: u64,
     /// Time since the platform last answered a read of its list of targets; `None` where it never did.
     pub list_age: Option<Duration>,
-    /// Units that it took of its account's limit.
+    /// Units of the account's limit that the request took.
     pub units: f64,
-    /// Tokens of the answer that its caller expects.
+    /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
     pub expected: Option<u32>,
-    /// Whose it is.
+    /// Account of the request; `None` on a public route.
     pub account: Option<&'a str>,
-    /// Rank of its route.
+    /// Rank of the request's route; 0 is the highest.
     pub tier: u32,
-    /// Time for each token of an answer at the target, in ms, as its agent last said.
+    /// Time per token of an answer at the target in ms, as the target's agent last reported it; `None` where
+    /// no agent reported it.
     pub pace: Option<f64>,
-    /// Time since its dispatch.
+    /// Time since the dispatch.
     pub running_for: Duration,
-    /// Time from its dispatch to the first event, once that came.
+    /// Time from the dispatch to the first event of the answer; `None` before that.
     pub first: Option<Duration>,
-    /// Time that its caller gave.
+    /// Time from the request's arrival to its deadline.
     pub patience: Duration,
-    /// Which dispatch it is, from 1.
+    /// Number of the dispatch among those of the request, from 1.
     pub attempt: u32,
-    /// Whether it waits for room at another target, since its own is silent.
+    /// Whether the request waits for a slot at another target, since its own is silent.
     pub seeks: bool,
 }
 
+/// A dispatch whose connection broke off, possibly because its target crashed.
 #[derive(Clone, Debug)]
 struct Loss {
     at: Instant,
     target: String,
     body: Fingerprint,
-    /// Whether the target took a connection after that: then only another start of it shows that it died.
+    /// Whether the target accepted a connection afterwards: then only its restart proves that it crashed.
     reached: bool,
 }
 
-/// Gives the state of a process that knows nothing yet.
+/// Returns the state of a process that just started: without a configuration, targets or peers.
 pub fn open(now: Instant, settings: Settings) -> State {
     State {
         settings,
@@ -289,10 +300,10 @@
     }
 }
 
-/// Takes one event in and gives what has to be done about it.
+/// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut State, now: Now, event: Event) -> Vec<Effect> {
     let mut effects = Vec::new();
-    // What happens after a suspension mustn't be decided by what was true before it.
+    // After a suspension of the host the configuration may be out of date, so check that before the event.
     state.freshen(now, &mut effects);
     match event {
         Event::Arrived(request) => state.arrive(now, request, &mut effects),
@@ -359,37 +370,38 @@
     effects
 }
 
-/// When the next `Event::Tick` is due, if nothing else happens before.
+/// Returns the time at which the next [`Event::Tick`] is due unless another event comes first; `None` where
+/// none is due.
 pub fn next_wake(state: &State, now: Instant) -> Option<Instant> {
-    let timer = state.timers.first().map(|&(at, _)| at);
-    let waits = state.waiting.values().any(|queue| !queue.is_empty());
-    let up = if waits { state.capacity.next_up(now) } else { None };
-    let reserve = state.reserve_at.first().copied();
-    timer.into_iter().chain(up).chain(state.next_grant).chain(reserve).min()
+    let next_timer = state.timers.first().map(|&(at, _)| at);
+    let has_waiting = state.waiting.values().any(|queue| !queue.is_empty());
+    let next_up = if has_waiting { state.capacity.next_up(now) } else { None };
+    let next_reservation = state.reserve_at.first().copied();
+    next_timer.into_iter().chain(next_up).chain(state.next_grant).chain(next_reservation).min()
 }
 
 impl State {
-    /// Targets that name a rate limit.
+    /// Returns the number of targets that state a rate limit.
     pub fn limited_targets(&self) -> usize {
         self.capacity.limited()
     }
 
-    /// Whether the balancer should send requests here.
+    /// Returns whether a load balancer should send requests to this process.
     pub fn is_ready(&self) -> bool {
         self.plan.is_some() && self.fresh && self.draining.is_none()
     }
 
-    /// Requests that haven't ended.
+    /// Returns the number of requests that haven't ended.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether another process's row is current.
+    /// Returns whether the last row of the process at this address is current.
     pub fn hears(&self, now: Instant, address: SocketAddr) -> bool {
         self.peers.hears(now, address)
     }
 
-    /// What a dispatch was decided from.
+    /// Returns facts about the dispatch of a request; `None` where the request isn't in flight at a target.
     pub fn view(&self, ticket: Ticket, now: Instant) -> Option<View<'_>> {
         let pending = self.requests.get(&ticket)?;
         let running = pending.running()?;
@@ -417,7 +429,7 @@
         })
     }
 
-    /// What a refusal of a request is decided from.
+    /// Returns the facts on which a refusal of this request would be based, for the log.
     fn grounds(&self, now: Instant, ticket: Ticket) -> Grounds {
         let Some(pending) = self.requests.get(&ticket) else {
             return Grounds::default();
@@ -444,34 +456,35 @@
         }
     }
 
-    /// Time since the platform last answered a read of its list of targets; `None` where it never did.
+    /// Returns the time since the platform last answered a read of its list of targets; `None` where it never
+    /// did.
     pub fn list_age(&self, now: Instant) -> Option<Duration> {
         self.list_answered.map(|at| now.saturating_duration_since(at))
     }
 
-    /// How old what is known of the platform is.
+    /// Returns the ages of what this process knows about the platform.
     pub fn ages(&self, now: Now) -> Ages {
         let age = |at: Duration| now.boot.saturating_sub(at);
         Ages { proof: self.confirmed.map(age), answered: self.answered.map(age) }
     }
 
-    /// Whether another process that may take requests isn't heard.
+    /// Returns whether the row of any other process that may take requests is missing or out of date.
     pub fn is_lonely(&self, now: Instant) -> bool {
         let gone = self.settings.gone;
         self.peers.heard(now, gone) < self.peers.expected(now, gone)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` where none was read yet.
     pub fn plan_in_force(&self) -> Option<&Arc<Plan>> {
         self.plan.as_ref()
     }
 
-    /// Other entry processes that may be alive.
+    /// Returns the addresses of the other entry processes that may be alive.
     pub fn peers(&self) -> impl Iterator<Item = SocketAddr> {
         self.peers.addresses()
     }
 
-    /// What this process says of itself.
+    /// Builds a new row about this process, with the next sequence number, to send to the others.
     pub fn row(&mut self, now: Instant) -> Row {
         self.sequence += 1;
         Row {
@@ -482,24 +495,24 @@
             leaving: self.draining.is_some() && self.requests.is_empty(),
             hears: self.peers.heard_addresses(now),
             uptime: now.saturating_duration_since(self.opened),
-            accounts: self.accounts.iter().map(used).collect(),
+            accounts: self.accounts.iter().map(account_use).collect(),
             running: self.capacity.running(now),
-            limits: self.capacity.limits(now).map(limited).collect(),
+            limits: self.capacity.limits(now).map(target_limit).collect(),
             rollouts: self.shares(now),
         }
     }
 
-    /// What this process knows of the others.
+    /// Returns the last rows of the other processes with their current ages, to relay them.
     pub fn rows(&self, now: Instant) -> Vec<Row> {
         self.peers.rows(now).collect()
     }
 }
 
-fn used((account, usage): (&AccountName, &Allowance)) -> Use {
+fn account_use((account, usage): (&AccountName, &Allowance)) -> Use {
     Use { account: account.clone(), spent: usage.spent, left: usage.left() }
 }
 
-fn limited((state, limit): (&TargetState, Limit)) -> Limited {
+fn target_limit((state, limit): (&TargetState, Limit)) -> Limited {
     let Target { name, incarnation, .. } = &state.target;
     Limited { target: name.clone(), incarnation: *incarnation, limit }
 }
