--- a/components/scheduler/src/direct/era.rs
+++ b/components/scheduler/src/direct/era.rs
@@ -1,8 +1,8 @@
-//! Eras of the platform's service: it came back from an older copy of itself.
+//! Eras of the platform's service. A new era begins when the service is restored from a backup.
 //!
-//! What it acknowledged last is gone then, until its writers write it again. Nothing that was known here
-//! steps back meanwhile: neither the configuration, which the copy may not prove to be current, nor the
-//! targets that were leaving or had left.
+//! The backup lacks the records that the service acknowledged last, until their writers write them again.
+//! Meanwhile this process doesn't return to an older state: it keeps its configuration, which the backup
+//! can't confirm to be current, and doesn't use targets that were draining or had left.
 
 use std::{
     collections::BTreeSet,
@@ -14,18 +14,21 @@
     relay::{Era, Listing},
 };
 
-/// The era of a service that never came back from a copy.
-const FIRST: Era = 1;
-/// Time in which writers write again what a copy lacks: until then it proves nothing.
-const REWRITE: Duration = Duration::from_secs(1);
-/// Time for which a process that starts waits for others to tell what they know. One that reaches none
-/// goes by the copy then, which may lack what was acknowledged last.
-const ASK: Duration = Duration::from_millis(1_500);
-/// Time in which targets that left are off the list again: three of their heartbeats, and some more.
-const EXPIRY: Duration = Duration::from_secs(6);
+/// Era of a service that was never restored from a backup.
+const FIRST_ERA: Era = 1;
+/// Time within which writers write the records again that a backup lacks: until then the service can't
+/// confirm that a configuration is current.
+const REWRITE_TIME: Duration = Duration::from_secs(1);
+/// Time for which a process that starts after the first era waits for offers of other processes. Without an
+/// offer it relies on the restored backup then, which may lack the records that were acknowledged last.
+const OFFER_WAIT: Duration = Duration::from_millis(1_500);
+/// Time within which targets that a restored backup lists, but that have left, expire from the list: three
+/// of their heartbeats, and some more.
+const LISTING_EXPIRY: Duration = Duration::from_secs(6);
 
 impl State {
-    /// Sees the platform's era. In a newer one the list may lack targets, as after an outage.
+    /// Records the era of the platform's service. If it is a newer one, the list may lack targets, as after
+    /// an outage.
     pub(super) fn enter(&mut self, now: Instant, era: Era) {
         if self.era.is_some_and(|known| known >= era) {
             return;
@@ -37,44 +40,46 @@
         self.rollouts.enter(era);
     }
 
-    /// Whether a version that the platform has as its newest proves that the one in force is current.
-    pub(super) fn proves(&self, now: Instant, version: u64) -> bool {
+    /// Returns whether the configuration in force is current, given that the platform's newest one has this
+    /// version.
+    pub(super) fn confirms_plan(&self, now: Instant, version: u64) -> bool {
         let known = self.plan.as_ref().map_or(0, |plan| plan.version);
         if version < known {
             return false;
         }
         match self.era_began {
-            Some(at) => now.duration_since(at) >= REWRITE && self.has_asked(now),
-            None => self.era <= Some(FIRST) || self.has_asked(now),
+            Some(at) => now.duration_since(at) >= REWRITE_TIME && self.is_current_among_peers(now),
+            None => self.era <= Some(FIRST_ERA) || self.is_current_among_peers(now),
         }
     }
 
-    /// Whether others had the time to tell this process of a newer configuration.
-    fn has_asked(&self, now: Instant) -> bool {
+    /// Returns whether other processes had enough time to offer a newer configuration and none has one.
+    fn is_current_among_peers(&self, now: Instant) -> bool {
         let known = self.plan.as_ref().map_or(0, |plan| plan.version);
         let ahead = self.offers.values().any(|offer| offer.plan > known);
-        !ahead && (self.heard_offer || now.duration_since(self.opened) >= ASK)
+        !ahead && (self.heard_offer || now.duration_since(self.opened) >= OFFER_WAIT)
     }
 
-    /// Remembers the targets that are listed no more.
-    pub(super) fn see_off(&mut self, now: Instant) {
+    /// Remembers the targets in use that are no longer listed, for a limited time.
+    pub(super) fn remember_departed(&mut self, now: Instant) {
         let listed: BTreeSet<&str> =
             self.listing.targets.iter().map(|target| target.name.as_str()).collect();
-        let gone = self.capacity.listed().filter(|target| !listed.contains(target.name.as_str()));
-        let gone = gone.map(|target| (target.name.clone(), (target.incarnation, now)));
-        self.left.extend(gone.collect::<Vec<_>>());
-        self.left.retain(|_, (_, at)| now.duration_since(*at) < EXPIRY * 2);
+        let departed =
+            self.capacity.listed().filter(|target| !listed.contains(target.name.as_str()));
+        let departed = departed.map(|target| (target.name.clone(), (target.incarnation, now)));
+        self.departed.extend(departed.collect::<Vec<_>>());
+        self.departed.retain(|_, (_, at)| now.duration_since(*at) < LISTING_EXPIRY * 2);
     }
 
-    /// The list without what an older copy brings back: a start of a target that left, or was leaving,
-    /// never takes requests again.
+    /// Returns the list without targets that only a restored backup shows: an incarnation of a target that
+    /// left, or was draining, never accepts requests again.
     pub(super) fn settle(&self, now: Instant, mut listing: Listing) -> Listing {
-        if self.era_began.is_none_or(|at| now.duration_since(at) >= EXPIRY) {
+        if self.era_began.is_none_or(|at| now.duration_since(at) >= LISTING_EXPIRY) {
             return listing;
         }
         listing.targets.retain(|target| {
-            let left = self.left.get(&target.name);
-            left.is_none_or(|(incarnation, _)| *incarnation != target.incarnation)
+            let departed = self.departed.get(&target.name);
+            departed.is_none_or(|(incarnation, _)| *incarnation != target.incarnation)
         });
         for target in &mut listing.targets {
             let known = self.capacity.state(&target.name).map(|state| &state.target);
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -165,7 +165,7 @@
     /// Time at which this process saw the era change; `None` for the first era that it saw.
     era_began: Option<Instant>,
     /// Targets that left the list, with their incarnations and the times at which they left.
-    left: BTreeMap<TargetName, (Incarnation, Instant)>,
+    departed: BTreeMap<TargetName, (Incarnation, Instant)>,
     /// Whether any other process has sent an offer.
     heard_offer: bool,
     capacity: Capacity,
@@ -274,7 +274,7 @@
         keeps_vanished: false,
         era: None,
         era_began: None,
-        left: BTreeMap::new(),
+        departed: BTreeMap::new(),
         heard_offer: false,
         capacity: Capacity::default(),
         requests: HashMap::new(),
@@ -304,7 +304,7 @@
 pub fn reduce(state: &mut State, now: Now, event: Event) -> Vec<Effect> {
     let mut effects = Vec::new();
     // After a suspension of the host the configuration may be out of date, so check that before the event.
-    state.freshen(now, &mut effects);
+    state.update_freshness(now, &mut effects);
     match event {
         Event::Arrived(request) => state.arrive(now, request, &mut effects),
         Event::Granted { ticket, number, load } => {
@@ -328,21 +328,21 @@
         Event::Planned(plan) => state.plan(plan, &mut effects),
         Event::Ordered(order) => {
             let step = state.rollouts.order(now.steady, order, Duration::ZERO);
-            state.step(now.steady, step.into_iter().collect(), &mut effects);
+            state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
         Event::Withdrawn { pool, position } => {
             let step = state.rollouts.withdraw(now.steady, &pool, position);
-            state.step(now.steady, step.into_iter().collect(), &mut effects);
+            state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
         Event::Reported(reports) => {
             for report in reports {
                 let step = state.rollouts.report(now.steady, &report);
-                state.step(now.steady, step.into_iter().collect(), &mut effects);
+                state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
             }
         }
         Event::Confirmed { boot, version, era } => state.confirm(now, boot, version, era),
         Event::Listed(listing) => state.take_over(now.steady, listing, &mut effects),
-        Event::ListAnswered => state.list_answered(now),
+        Event::ListAnswered => state.record_list_answer(now),
         Event::Offered { peer, offer } => state.offered(now, peer, offer),
         Event::Fetched { peer, topic, news } => {
             state.fetched(now.steady, (peer, topic), news, &mut effects);
@@ -352,17 +352,17 @@
             for process in processes.into_iter().filter(|process| process.address != own) {
                 state.peers.introduce(now.steady, process);
             }
-            state.look_round(now.steady, &mut effects);
+            state.update_peers(now.steady, &mut effects);
         }
-        Event::Heard(rows) => state.hear(now.steady, rows, &mut effects),
+        Event::Heard(rows) => state.receive_rows(now.steady, rows, &mut effects),
         Event::Probed { target, reached } => {
             state.probed(now.steady, &target, reached, &mut effects);
         }
         Event::Drain { end } => state.draining = Some(end),
-        Event::Tick => state.look_round(now.steady, &mut effects),
+        Event::Tick => state.update_peers(now.steady, &mut effects),
     }
-    state.freshen(now, &mut effects);
-    state.relist(now.steady, &mut effects);
+    state.update_freshness(now, &mut effects);
+    state.drop_vanished_targets(now.steady, &mut effects);
     state.fetch(now.steady, &mut effects);
     state.grant(now.steady);
     state.expire(now.steady, &mut effects);
--- a/components/scheduler/src/direct/plan.rs
+++ b/components/scheduler/src/direct/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration as direct dispatch needs it: routes, pools and client accounts.
+//! Configuration of direct dispatch: routes, pools and client accounts.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,98 +11,100 @@
 /// Whether a request may be dispatched again after it may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Repeat {
-    /// It is idempotent.
+    /// The request is idempotent and may be dispatched again until a part of its answer was passed on.
     Safe,
-    /// Its answer is a stream that goes on after the last event that arrived.
+    /// The answer is a stream that another target can resume after the last event that was received.
     Resume,
-    /// It runs at most once.
+    /// The request must run at most once.
     Never,
 }
 
-/// A pool of a route, with its part of the requests.
+/// A pool of a route, with its share of the route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
-    /// The pool.
+    /// Pool to which the share of requests goes.
     pub pool: PoolName,
-    /// Its part, relative to the other pools of the route.
+    /// Weight of the pool, relative to the other pools of the route.
     pub weight: u32,
 }
 
-/// How the requests of one host name and path prefix are served.
+/// Rules by which the requests of one host name and path prefix are served.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, in logs and in the evidence of rollouts.
     pub name: String,
-    /// Host name that callers ask for.
+    /// Host name that callers request.
     pub host: String,
-    /// Begins and ends with a slash; the longest that begins a path wins.
+    /// Path prefix that begins and ends with a slash; of several that match a path, the longest wins.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be dispatched again after they may have run.
     pub repeat: Repeat,
-    /// Whether its answers are streams of events.
+    /// Whether the answers are streams of events.
     pub stream: bool,
-    /// Longest time from arrival to the end of the answer.
+    /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that earns the full credit.
+    /// Target latency: time to the answer, or to a stream's first event, within which a request earns its
+    /// full credit.
     pub aim: Duration,
-    /// Order of its tier: 0 is the highest.
+    /// Rank of the route's tier; 0 is the highest.
     pub rank: u32,
-    /// Most targets that may run one request; at least 1.
+    /// Maximum number of targets that may run one request; at least 1.
     pub attempts: u32,
-    /// Whether it is served without a key.
+    /// Whether requests are served without an API key.
     pub public: bool,
-    /// Where its requests go; never empty.
+    /// Pools among which the requests are split; never empty.
     pub parts: Vec<Part>,
 }
 
-/// How much of an account's work may run, over all entry processes.
+/// Rate limit of an account over all entry processes: a token bucket of units.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Limit {
-    /// Units a second; above 0.
+    /// Units per second at which the bucket refills; greater than 0.
     pub rate: f64,
-    /// Units that may be used at once beyond the rate.
+    /// Capacity of the bucket in units, which may be used at once.
     pub burst: f64,
-    /// Units of a request that doesn't say its tokens.
+    /// Units of a request that states no token counts, where a unit is a token.
     pub plain: f64,
-    /// Whether a unit is a token; else it is a request.
+    /// Whether a unit is a token; otherwise a unit is a request.
     pub tokens: bool,
 }
 
-/// A client account.
+/// Settings of a client account.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Account {
-    /// Order among accounts, which goes before the route's; 0 is the highest.
+    /// Rank among accounts, which takes precedence over the rank of the route; 0 is the highest.
     pub rank: u32,
-    /// Its limit, if it has one.
+    /// Rate limit of the account; `None` where it has none.
     pub limit: Option<Limit>,
 }
 
-/// One version of the configuration, whole.
+/// A complete configuration of one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Plan {
-    /// Grows with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// Routes by host name, each list with the longest prefix first.
+    /// Routes by host name; each list is sorted with the longest prefix first.
     pub routes: BTreeMap<String, Vec<Route>>,
-    /// Client accounts; where there are none, no request needs a key.
+    /// Client accounts by name; where there are none, no request needs an API key.
     pub accounts: BTreeMap<AccountName, Account>,
-    /// Whose each key is.
+    /// Accounts by API key.
     pub keys: BTreeMap<String, AccountName>,
-    /// Longest time for which a caller's connection stays open without a request.
+    /// Maximum time for which a caller's connection stays open without a request.
     pub idle: Duration,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_max: usize,
 }
 
 impl Plan {
-    /// The route of a request.
+    /// Returns the route of a request; `None` where no route matches. A port in `host` is ignored unless a
+    /// route names it.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let name = host.split(':').next().unwrap_or_default();
-        let routes = self.routes.get(name).or_else(|| self.routes.get(host))?;
+        let host_name = host.split(':').next().unwrap_or_default();
+        let routes = self.routes.get(host_name).or_else(|| self.routes.get(host))?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Rank of the lowest tier of a pool's streams, where it has several.
+    /// Returns the rank of the lowest tier among a pool's streams; `None` unless these have several tiers.
     pub fn lowest(&self, pool: &str) -> Option<u32> {
         let routes = self.routes.values().flatten().filter(|route| route.stream);
         let served = routes.filter(|route| route.parts.iter().any(|part| part.pool == pool));
@@ -110,7 +112,7 @@
         if ranks.len() > 1 { ranks.last().copied() } else { None }
     }
 
-    /// Adds a route in its place.
+    /// Adds a route, keeping the list of its host name sorted by the length of the prefix.
     pub fn insert(&mut self, route: Route) {
         let routes = self.routes.entry(route.host.clone()).or_default();
         let at = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
@@ -119,13 +121,14 @@
 }
 
 impl Route {
-    /// The pool of a request, by a number that is spread evenly over requests.
+    /// Returns the pool of a request, chosen by weight. `draw` is distributed evenly over requests. `None`
+    /// where the weights of all pools are 0.
     pub fn pool(&self, draw: u64) -> Option<&PoolName> {
         let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
-        let mut rest = draw.checked_rem(total)?;
+        let mut remainder = draw.checked_rem(total)?;
         for part in &self.parts {
-            match rest.checked_sub(u64::from(part.weight)) {
-                Some(left) => rest = left,
+            match remainder.checked_sub(u64::from(part.weight)) {
+                Some(left) => remainder = left,
                 None => return Some(&part.pool),
             }
         }
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -1,4 +1,4 @@
-//! How roll-outs touch requests and targets.
+//! Effects of rollouts on requests and targets.
 
 use std::time::{Duration, Instant};
 
@@ -10,81 +10,88 @@
     rollout::{Answer, Order, Others, Report, Share, Step},
 };
 
-fn note(step: Step) -> Effect {
+fn rollout_note(step: Step) -> Effect {
     Effect::Note(Note::Rollout(Box::new(step)))
 }
 
-/// Whether this process has nothing at targets of other versions than the ordered one.
+/// Returns whether this process has no requests in flight at targets of other versions than the ordered one.
 fn is_idle(capacity: &Capacity, order: &Order) -> bool {
     capacity.running_besides(&order.pool, &order.target) == 0
 }
 
 impl State {
-    /// What the platform's service is to be told of roll-outs.
+    /// Returns the reports on rollouts that have to be written to the platform's service.
     pub fn reports(&self) -> Vec<Report> {
         self.rollouts.reports()
     }
 
-    /// Number of this process among those that may report the same.
+    /// Returns the index of this process among the entry processes, which may all write the same reports.
     pub fn turn(&self) -> u32 {
         self.place.index
     }
 
-    /// Dispatches of this process to the version that is ordered for a pool.
+    /// Returns the number of dispatches of this process to the version that is ordered for a pool.
     pub fn exposed(&self, pool: &str) -> u64 {
         self.rollouts.exposed(pool)
     }
 
-    /// The target that has a request.
+    /// Returns the target at which a request is in flight; `None` where it is at none.
     pub fn target(&self, ticket: Ticket) -> Option<&Target> {
         let running = self.requests.get(&ticket)?.running()?;
         Some(&self.capacity.state(&running.slot.target)?.target)
     }
 
-    /// What this process tells the others of roll-outs.
+    /// Returns the state of rollouts that this process sends to the others in its row.
     pub(super) fn shares(&self, now: Instant) -> Vec<Share> {
         self.rollouts.shares(now, |order| is_idle(&self.capacity, order))
     }
 
-    /// Takes steps of roll-outs: targets of the versions take other requests from then on.
-    pub(super) fn step(&mut self, now: Instant, steps: Vec<Step>, effects: &mut Vec<Effect>) {
+    /// Applies steps of rollouts, if any: reassigns which requests the targets of each version accept, and
+    /// logs the steps.
+    pub(super) fn apply_steps(
+        &mut self,
+        now: Instant,
+        steps: Vec<Step>,
+        effects: &mut Vec<Effect>,
+    ) {
         if !steps.is_empty() {
             self.assign_lanes(now);
         }
-        effects.extend(steps.into_iter().map(note));
+        effects.extend(steps.into_iter().map(rollout_note));
     }
 
-    /// Weighs what is known of roll-outs, and decides.
-    pub(super) fn decide_rollouts(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Evaluates the evidence about active rollouts from all processes and applies the resulting steps.
+    pub(super) fn advance_rollouts(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.rollouts.any_active() {
             return;
         }
         self.rollouts.weigh(self.peers.shares());
         let most = !self.is_outnumbered(now);
-        let whole = !self.is_lonely(now);
+        let all_heard = !self.is_lonely(now);
         let gone = self.settings.gone;
         let others = |order: &Order| {
-            let moved = whole && self.peers.all_moved(now, gone, order.position);
+            let moved = all_heard && self.peers.all_moved(now, gone, order.position);
             Others { most, moved }
         };
         let steps = self.rollouts.decide(now, others, |order| is_idle(&self.capacity, order));
-        // Also without a step, the share of requests that moves grows.
+        // The share of requests that go to the new version grows with time, also without a step.
         self.assign_lanes(now);
-        effects.extend(steps.into_iter().map(note));
+        effects.extend(steps.into_iter().map(rollout_note));
     }
 
-    /// Whether fewer than half of the other processes that may take requests are heard.
+    /// Returns whether fewer than half of the other processes that may take requests have current rows.
     pub(super) fn is_outnumbered(&self, now: Instant) -> bool {
         let gone = self.settings.gone;
         self.peers.heard(now, gone) * 2 < self.peers.expected(now, gone)
     }
 
+    /// Reassigns to each target whether it gets requests, and those of which version.
     pub(super) fn assign_lanes(&mut self, now: Instant) {
         let rollouts = &mut self.rollouts;
         self.capacity.assign(|pool, targets| rollouts.lanes(now, pool, targets));
     }
 
-    /// Learns from the end of a dispatch how a version answers.
+    /// Adds the result of a dispatch to the evidence about the version of its target.
     pub(super) fn learn_version(
         &mut self,
         now: Instant,
@@ -98,9 +105,9 @@
         };
         let answer = match outcome {
             Outcome::Done => {
-                let held = now.saturating_duration_since(running.since);
-                let first = running.first.unwrap_or(held);
-                let rest = (held.saturating_sub(first), events.saturating_sub(1));
+                let duration = now.saturating_duration_since(running.since);
+                let first = running.first.unwrap_or(duration);
+                let rest = (duration.saturating_sub(first), events.saturating_sub(1));
                 Answer::Whole { first: running.slot.each_token(first), rest }
             }
             Outcome::Failed | Outcome::Lost { .. } | Outcome::Silent | Outcome::Expired => {
@@ -111,8 +118,8 @@
         self.rollouts.answered(&pending.pool, &pending.route, running.slot.ordered, answer);
     }
 
-    /// Hears what another process told some time ago.
-    pub(super) fn hear_shares(
+    /// Applies the state of rollouts in another process's row, which was made `age` ago.
+    pub(super) fn receive_shares(
         &mut self,
         now: Instant,
         age: Duration,
@@ -121,7 +128,7 @@
     ) {
         for share in shares {
             let steps = self.rollouts.hear(now, age, share);
-            self.step(now, steps, effects);
+            self.apply_steps(now, steps, effects);
         }
     }
 }
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -1,4 +1,4 @@
-//! What is learnt of the platform and of other entry processes.
+//! Updates of the state by what is read from the platform and received from other entry processes.
 
 use std::{
     collections::BTreeSet,
@@ -17,14 +17,15 @@
     relay::Era,
 };
 
-/// Whether the platform has been silent for so long that this is an outage.
+/// Returns whether the platform hasn't answered for so long that this counts as an outage.
 fn is_silent(answered: Option<Duration>, now: Now) -> bool {
     answered.is_none_or(|at| now.boot.saturating_sub(at) > SILENCE)
 }
 
 impl State {
+    /// Puts a configuration in force if it is newer than the known one.
     pub(super) fn plan(&mut self, plan: Arc<Plan>, effects: &mut Vec<Effect>) {
-        // A configuration never steps back within the life of a process.
+        // A process never replaces its configuration by an older version.
         if self.plan.as_ref().is_some_and(|known| known.version >= plan.version) {
             return;
         }
@@ -40,31 +41,33 @@
         self.next_grant = None;
     }
 
-    /// The platform answered a read, whatever that was of: one of a large configuration may last longer
-    /// than silence may.
-    fn reach(&mut self, now: Now) {
+    /// Records that the platform answered a read of any kind: a single read of a large configuration may
+    /// take longer than the time without an answer that counts as an outage.
+    fn record_platform_answer(&mut self, now: Now) {
         if is_silent(self.answered, now) {
             self.outage = Some(now.steady);
         }
         self.answered = Some(now.boot);
     }
 
-    /// The platform answered a read of its list.
-    pub(super) fn list_answered(&mut self, now: Now) {
-        self.reach(now);
+    /// Records that the platform answered a read of its list of targets.
+    pub(super) fn record_list_answer(&mut self, now: Now) {
+        self.record_platform_answer(now);
         self.list_answered = Some(now.steady);
     }
 
-    /// The platform's newest configuration was of that version.
+    /// Records that the platform's newest configuration had this version at the time `boot` of the boot
+    /// clock.
     pub(super) fn confirm(&mut self, now: Now, boot: Duration, version: u64, era: Era) {
-        self.reach(now);
+        self.record_platform_answer(now);
         self.enter(now.steady, era);
-        if self.proves(now.steady, version) {
+        if self.confirms_plan(now.steady, version) {
             self.confirmed = self.confirmed.max(Some(boot));
         }
     }
 
-    pub(super) fn freshen(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    /// Updates whether the configuration counts as current, and logs a change.
+    pub(super) fn update_freshness(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let age = self.confirmed.map(|at| now.boot.saturating_sub(at));
         let fresh = age.is_some_and(|age| age < self.settings.freshness);
         if fresh != self.fresh {
@@ -73,12 +76,13 @@
         }
     }
 
-    /// Whether living targets may be missing in a list that is read now.
+    /// Returns whether live targets may be missing in a list that is read now, since an outage just ended.
     pub(super) fn is_returning(&self, now: Instant) -> bool {
         self.outage.is_some_and(|at| now.duration_since(at) < RETURN)
     }
 
-    /// Uses the targets of the last list, and those that vanished from it if that is asked for.
+    /// Replaces the targets in use by those of the last list and, if `keep_vanished` is set, those that are
+    /// in use but missing in the list.
     pub(super) fn use_listed(
         &mut self,
         now: Instant,
@@ -87,7 +91,7 @@
     ) {
         self.keeps_vanished = keep_vanished;
         if !keep_vanished {
-            self.see_off(now);
+            self.remember_departed(now);
         }
         let listed = &self.listing.targets;
         let mut used = listed.clone();
@@ -105,24 +109,26 @@
         let unordered = self.capacity.shut();
         effects.push(Effect::Note(Note::Targets { ready, listed, kept, unordered }));
         for target in restarted {
-            // What broke off there just before ran when it died.
+            // Requests whose connection broke off shortly before the restart ran when the target crashed.
             self.count_crashes(now, &target, true, effects);
             effects.push(Effect::Note(Note::Restarted(target)));
         }
-        self.look_round(now, effects);
+        self.update_peers(now, effects);
     }
 
-    /// Gives vanished targets up once the time in which living ones come back is over.
-    pub(super) fn relist(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Drops the targets that are missing in the list once live ones must be listed again.
+    pub(super) fn drop_vanished_targets(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if self.keeps_vanished && !self.is_returning(now) {
             self.use_listed(now, false, effects);
         }
     }
 
-    pub(super) fn hear(&mut self, now: Instant, rows: Vec<Row>, effects: &mut Vec<Effect>) {
+    /// Applies rows that were received from another process: rollouts, rate limits of targets and the use of
+    /// accounts' limits.
+    pub(super) fn receive_rows(&mut self, now: Instant, rows: Vec<Row>, effects: &mut Vec<Effect>) {
         let (own, opened) = (self.settings.address, self.opened);
         for row in rows.into_iter().filter(|row| row.address != Some(own)) {
-            self.hear_shares(now, row.age, &row.rollouts, effects);
+            self.receive_shares(now, row.age, &row.rollouts, effects);
             self.hear_limits(now, row.age, &row.limits, effects);
             for told in self.peers.hear(now, now.saturating_duration_since(opened), row) {
                 let (Told::Spent(account, _) | Told::Left(account, _)) = &told;
@@ -137,11 +143,12 @@
                 }
             }
         }
-        self.look_round(now, effects);
+        self.update_peers(now, effects);
     }
 
-    /// Takes stock of the other processes.
-    pub(super) fn look_round(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Updates everything that is derived from the rows of the other processes and their ages: the share of
+    /// this process, the load of the targets and the decisions about rollouts.
+    pub(super) fn update_peers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let gone = self.settings.gone;
         self.peers.forget(now, gone);
         self.crashes.forget(now);
@@ -162,6 +169,6 @@
             effects.push(Effect::Note(Note::Peers { heard, expected, together }));
         }
         self.capacity.count_others(now, self.peers.running(now));
-        self.decide_rollouts(now, effects);
+        self.advance_rollouts(now, effects);
     }
 }
