--- a/components/scheduler/tests/direct.rs
+++ b/components/scheduler/tests/direct.rs
@@ -1,4 +1,4 @@
-//! Direct dispatch: routes, keys, room, repeats and refusals of one process.
+//! Direct dispatch in one process: routes, API keys, capacity of targets, repeats and refusals.
 
 mod direct_support;
 
@@ -15,7 +15,7 @@
 use test_case::test_case;
 
 #[test]
-fn the_longest_prefix_decides() {
+fn the_route_with_the_longest_matching_prefix_is_chosen() {
     let mut short = route("/a/", Repeat::Safe);
     short.name = "short".into();
     let mut long = route("/a/b/", Repeat::Safe);
@@ -23,14 +23,14 @@
 
     let plan = plan(1, vec![short, long], None);
 
-    let name = |path| plan.route("host:80", path).map(|route| route.name.as_str());
-    assert_eq!(name("/a/b/c"), Some("long"));
-    assert_eq!(name("/a/bc"), Some("short"));
-    assert_eq!(name("/b/"), None);
+    let route_name = |path| plan.route("host:80", path).map(|route| route.name.as_str());
+    assert_eq!(route_name("/a/b/c"), Some("long"));
+    assert_eq!(route_name("/a/bc"), Some("short"));
+    assert_eq!(route_name("/b/"), None);
 }
 
 #[test]
-fn pools_get_requests_by_their_weights() {
+fn requests_are_split_among_pools_by_weight() {
     let mut split = route("/", Repeat::Safe);
     split.parts =
         vec![Part { pool: "a".into(), weight: 90 }, Part { pool: "b".into(), weight: 10 }];
@@ -43,19 +43,25 @@
 #[test_case("/none/", Some("key"), Reason::NoRoute; "no route")]
 #[test_case("/a/", Some("other"), Reason::BadKey; "unknown key")]
 #[test_case("/a/", None, Reason::BadKey; "no key")]
-fn improper_requests_are_refused(path: &str, key: Option<&str>, reason: Reason) {
+fn requests_without_route_or_valid_key_are_refused_as_not_run(
+    path: &str,
+    key: Option<&str>,
+    reason: Reason,
+) {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
-    let mut asked = request(1, path);
-    asked.key = key.map(str::to_owned);
+    let mut invalid = request(1, path);
+    invalid.key = key.map(str::to_owned);
 
-    let effects = process.arrive(asked);
+    let effects = process.arrive(invalid);
 
     assert_eq!(refusal(&effects).reason, reason);
     assert!(refusal(&effects).not_run);
 }
 
+/// Guards against keys that are accepted from a configuration which wasn't confirmed to be current for longer
+/// than the permitted time: they may have been revoked since.
 #[test]
-fn a_key_stops_to_count_once_the_plan_may_be_out_of_date() {
+fn keys_are_refused_once_the_configuration_may_be_out_of_date() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
     process.pass(FRESHNESS - Duration::from_millis(1));
     let before = process.arrive(request(1, "/a/"));
@@ -68,10 +74,12 @@
     assert!(!process.state.is_ready());
 }
 
+/// Guards against keys that are accepted after the host was suspended, when the steady clock shows too short
+/// an age of the configuration.
 #[test]
-fn a_suspension_counts_towards_the_age_of_the_plan() {
+fn time_in_suspension_counts_towards_the_age_of_the_configuration() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
-    // The steady clock stands still while the host is suspended.
+    // The steady clock doesn't advance while the host is suspended.
     process.now.boot += FRESHNESS;
 
     let effects = process.arrive(request(1, "/a/"));
@@ -80,10 +88,10 @@
 }
 
 #[test]
-fn public_routes_are_served_without_a_current_plan() {
-    let mut open = route("/a/", Repeat::Safe);
-    open.public = true;
-    let mut process = process(plan(1, vec![open], None), targets(1));
+fn public_routes_are_served_with_an_outdated_configuration() {
+    let mut public = route("/a/", Repeat::Safe);
+    public.public = true;
+    let mut process = process(plan(1, vec![public], None), targets(1));
     process.pass(FRESHNESS * 2);
 
     let effects = process.arrive(request(1, "/a/"));
@@ -92,7 +100,7 @@
 }
 
 #[test]
-fn a_plan_never_steps_back() {
+fn an_older_configuration_does_not_replace_a_newer_one() {
     let old = plan(1, vec![route("/old/", Repeat::Safe)], None);
     let mut process = process(plan(2, vec![route("/new/", Repeat::Safe)], None), targets(1));
 
@@ -103,17 +111,17 @@
 }
 
 #[test]
-fn a_target_gets_no_more_than_its_slots() {
+fn a_target_gets_no_more_concurrent_requests_than_it_has_slots() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(2));
 
-    let started = (0..9).map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len());
-    let count: usize = started.sum();
+    let dispatches = (0..9).map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len());
+    let dispatched: usize = dispatches.sum();
 
-    assert_eq!(count, 4);
+    assert_eq!(dispatched, 4);
 }
 
 #[test]
-fn the_higher_rank_goes_first() {
+fn waiting_requests_of_a_higher_tier_are_dispatched_first() {
     let mut low = route("/low/", Repeat::Safe);
     low.rank = 1;
     let plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
@@ -128,8 +136,9 @@
     assert_eq!(start(&effects).ticket, 4);
 }
 
-/// Two accounts, `key` of the lower rank and `first` of the higher, and a high and a low tier.
-fn ranked() -> Process {
+/// Returns a process whose only target has no free slot while two requests wait: ticket 3, of the account
+/// with the higher rank in the low tier, and ticket 4, of the account with the lower rank in the high tier.
+fn process_with_waiting_ranks() -> Process {
     let mut low = route("/low/", Repeat::Safe);
     low.rank = 1;
     let mut plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
@@ -139,16 +148,16 @@
     let mut process = process(plan, vec![target(1)]);
     process.arrive(request(1, "/high/"));
     process.arrive(request(2, "/high/"));
-    let mut of_first = request(3, "/low/");
-    of_first.key = Some("first".into());
-    process.arrive(of_first);
+    let mut low_of_first = request(3, "/low/");
+    low_of_first.key = Some("first".into());
+    process.arrive(low_of_first);
     process.arrive(request(4, "/high/"));
     process
 }
 
 #[test]
-fn a_request_that_can_wait_lets_higher_tiers_of_other_accounts_go_first() {
-    let mut process = ranked();
+fn a_higher_tier_takes_precedence_over_a_higher_account_rank_at_first() {
+    let mut process = process_with_waiting_ranks();
 
     let effects = process.end(1, Outcome::Done);
 
@@ -156,8 +165,8 @@
 }
 
 #[test]
-fn an_account_of_higher_rank_goes_first_once_its_request_has_waited() {
-    let mut process = ranked();
+fn a_higher_account_rank_takes_precedence_over_a_higher_tier_after_a_wait() {
+    let mut process = process_with_waiting_ranks();
     process.pass(Duration::from_millis(500));
 
     let effects = process.end(1, Outcome::Done);
@@ -166,7 +175,7 @@
 }
 
 #[test]
-fn a_request_that_can_not_meet_its_aim_is_refused_with_a_time_to_come_back() {
+fn a_request_that_can_not_meet_its_target_latency_is_refused_with_a_retry_time() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), vec![]);
     process.arrive(request(1, "/a/"));
     let early = process.pass(Duration::from_millis(500));
@@ -180,35 +189,37 @@
 }
 
 #[test]
-fn a_target_that_leaves_gets_no_more_requests() {
+fn a_target_that_is_not_ready_gets_no_more_requests() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(2));
-    let mut leaving = targets(2);
-    leaving[0].ready = false;
-    process.list(leaving);
+    let mut listed = targets(2);
+    listed[0].ready = false;
+    process.list(listed);
 
-    let to: Vec<String> = (0..2)
+    let used: Vec<String> = (0..2)
         .flat_map(|ticket| starts(&process.arrive(request(ticket, "/a/"))))
         .map(|start| start.target)
         .collect();
 
-    assert_eq!(to, ["target-1", "target-1"]);
+    assert_eq!(used, ["target-1", "target-1"]);
 }
 
+/// Guards against live targets that get no requests since their heartbeats were lost in an outage of the
+/// platform: its list lacks them just after the outage.
 #[test]
-fn targets_that_vanish_in_an_outage_are_used_until_living_ones_must_be_back() {
+fn targets_missing_after_an_outage_are_used_until_live_ones_must_be_listed_again() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
     process.pass(Duration::from_millis(3_500));
     process.confirm();
     process.list(Vec::new());
-    let during = process.arrive(request(1, "/a/"));
+    let just_after = process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Done);
     process.pass(Duration::from_millis(2_300));
     process.confirm();
 
-    let after = process.arrive(request(2, "/a/"));
+    let later = process.arrive(request(2, "/a/"));
 
-    assert_eq!(starts(&during).len(), 1);
-    assert_eq!(starts(&after).len(), 0);
+    assert_eq!(starts(&just_after).len(), 1);
+    assert_eq!(starts(&later).len(), 0);
 }
 
 #[test_case(Repeat::Never, Outcome::Rejected => true; "rejected")]
@@ -220,7 +231,7 @@
 #[test_case(Repeat::Safe, Outcome::Failed => true; "safe and failed")]
 #[test_case(Repeat::Resume, Outcome::Silent => true; "resumable and silent")]
 #[test_case(Repeat::Resume, Outcome::Expired => false; "expired")]
-fn a_request_is_dispatched_again(repeat: Repeat, outcome: Outcome) -> bool {
+fn a_request_is_dispatched_again_to_another_target(repeat: Repeat, outcome: Outcome) -> bool {
     let mut process = process(plan(1, vec![route("/a/", repeat)], None), targets(3));
     let first = start(&process.arrive(request(1, "/a/")));
 
@@ -232,7 +243,7 @@
 }
 
 #[test]
-fn a_refusal_says_not_run_only_where_nothing_may_have_run() {
+fn a_refusal_states_not_run_only_if_no_target_may_have_run_the_request() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(1));
     process.arrive(request(1, "/a/"));
     process.arrive(request(2, "/a/"));
@@ -247,7 +258,7 @@
 }
 
 #[test]
-fn repeats_stay_within_the_attempts() {
+fn a_request_is_not_dispatched_again_beyond_the_attempts_of_its_route() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
     process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Failed);
@@ -257,11 +268,14 @@
     assert!(matches!(effects[..], [Effect::Pass { ticket: 1 }]), "{effects:?}");
 }
 
-/// Guards against failures that targets answered with and that are replaced by one of our own.
-#[test_case(1, &[Outcome::Failed]; "no other has room")]
-#[test_case(5, &[Outcome::Failed, Outcome::Lost { crashed: false }]; "another lost it")]
-#[test_case(5, &[Outcome::Failed, Outcome::Rejected, Outcome::Expired]; "another took too long")]
-fn a_failure_is_passed_on_where_no_other_target_answers(count: u16, outcomes: &[Outcome]) {
+/// Guards against error answers of targets that the process replaces by a refusal of its own.
+#[test_case(1, &[Outcome::Failed]; "no other target has a free slot")]
+#[test_case(5, &[Outcome::Failed, Outcome::Lost { crashed: false }]; "another target lost it")]
+#[test_case(5, &[Outcome::Failed, Outcome::Rejected, Outcome::Expired]; "the deadline passed at another target")]
+fn the_error_answer_of_a_target_is_passed_on_if_no_other_target_answers(
+    count: u16,
+    outcomes: &[Outcome],
+) {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(count));
     process.pass(Duration::from_secs(30));
     process.confirm();
@@ -276,7 +290,7 @@
 }
 
 #[test]
-fn a_dispatch_that_never_arrived_takes_no_attempt() {
+fn a_dispatch_that_did_not_run_does_not_count_as_an_attempt() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
     process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Unreached);
@@ -287,8 +301,10 @@
     assert_eq!(start(&effects).attempt, 4);
 }
 
+/// Guards against begun streams that wait behind new requests: a part of an answer is lost if the rest comes
+/// too late.
 #[test]
-fn an_answer_that_has_begun_goes_on_before_others_begin() {
+fn a_begun_answer_is_resumed_before_waiting_requests_of_higher_tiers() {
     let mut low = route("/low/", Repeat::Resume);
     low.rank = 1;
     let plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
@@ -306,44 +322,45 @@
 }
 
 #[test]
-fn repeats_stay_within_the_budget() {
+fn repeats_stay_within_the_retry_budget() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
-    // What was used before its start may have been all that is allowed: it earns that over a few windows.
+    // A process starts with an empty budget, since earlier processes may have used all that is allowed, and
+    // earns it over a few windows.
     process.pass(Duration::from_secs(30));
     process.confirm();
 
-    let repeats = (0..100_u64).filter(|&ticket| {
+    let repeated = (0..100_u64).filter(|&ticket| {
         process.arrive(request(ticket, "/a/"));
-        let again = starts(&process.end(ticket, Outcome::Failed)).len() == 1;
+        let is_repeated = starts(&process.end(ticket, Outcome::Failed)).len() == 1;
         process.end(ticket, Outcome::Done);
-        again
+        is_repeated
     });
 
-    // 0.2 of 100 requests and 50 besides are allowed; less is used.
-    assert!((40..=70).contains(&repeats.count()));
+    // The budget allows a fifth of 100 requests and 50 more; the process uses a part of that.
+    assert!((40..=70).contains(&repeated.count()));
 }
 
 #[test]
-fn a_rejected_request_goes_to_an_untried_target_first() {
+fn a_rejected_request_is_dispatched_to_an_untried_target_first() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(3));
     process.pass(Duration::from_secs(30));
     process.confirm();
-    let mut seen = vec![start(&process.arrive(request(1, "/a/"))).target];
+    let mut tried = vec![start(&process.arrive(request(1, "/a/"))).target];
 
     for _ in 0..2 {
-        // Longer than a target that rejected a request is left alone.
+        // Longer than the time for which a target that rejected a request gets no other.
         let mut effects = process.end(1, Outcome::Rejected);
         effects.extend(process.pass(Duration::from_millis(100)));
-        seen.push(start(&effects).target);
+        tried.push(start(&effects).target);
     }
 
-    seen.sort();
-    seen.dedup();
-    assert_eq!(seen.len(), 3);
+    tried.sort();
+    tried.dedup();
+    assert_eq!(tried.len(), 3);
 }
 
 #[test]
-fn a_body_that_crashed_two_targets_is_refused() {
+fn a_request_whose_body_crashed_two_targets_is_quarantined() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(9));
     let mut crash = |ticket| {
         let mut poison = request(ticket, "/a/");
@@ -351,9 +368,9 @@
         let target = start(&process.arrive(poison)).target;
         let effects = process.end(ticket, Outcome::Lost { crashed: true });
         process.send(Event::Left { ticket, events: 0 });
-        let asked = effects.iter().any(|effect| matches!(effect, Effect::Probe { .. }));
+        let is_probed = effects.iter().any(|effect| matches!(effect, Effect::Probe { .. }));
         process.send(Event::Probed { target, reached: false });
-        asked
+        is_probed
     };
     assert!(crash(1) && crash(2));
 
@@ -364,26 +381,27 @@
     assert_eq!(refusal(&effects).reason, Reason::Quarantined);
 }
 
+/// Guards against requests that are quarantined since connections to live targets broke off.
 #[test]
-fn a_body_whose_answer_was_lost_by_a_living_target_is_not_refused() {
+fn a_request_whose_connections_to_live_targets_broke_off_is_not_quarantined() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(9));
     for ticket in 1..5 {
-        let mut body = request(ticket, "/a/");
-        body.fingerprint = [9; 16];
-        let target = start(&process.arrive(body)).target;
+        let mut unlucky = request(ticket, "/a/");
+        unlucky.fingerprint = [9; 16];
+        let target = start(&process.arrive(unlucky)).target;
         process.end(ticket, Outcome::Lost { crashed: true });
         process.send(Event::Left { ticket, events: 0 });
         process.send(Event::Probed { target, reached: true });
     }
 
-    let mut again = request(5, "/a/");
-    again.fingerprint = [9; 16];
+    let mut retry = request(5, "/a/");
+    retry.fingerprint = [9; 16];
 
-    assert_eq!(starts(&process.arrive(again)).len(), 1);
+    assert_eq!(starts(&process.arrive(retry)).len(), 1);
 }
 
 #[test]
-fn a_limit_refuses_what_lies_beyond_it_and_says_when_to_come_back() {
+fn requests_beyond_an_account_limit_are_refused_with_a_retry_time() {
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(100.0)));
     let mut process = process(plan, targets(9));
 
@@ -399,7 +417,7 @@
 }
 
 #[test]
-fn units_of_a_request_that_ran_are_not_given_back() {
+fn units_of_a_request_that_ran_are_not_refunded() {
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
     let mut process = process(plan, targets(9));
     process.arrive(request(1, "/a/"));
@@ -411,7 +429,7 @@
 }
 
 #[test]
-fn units_of_a_request_that_did_not_run_are_given_back() {
+fn units_of_a_request_that_did_not_run_are_refunded() {
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
     let mut process = process(plan, Vec::new());
     process.arrive(request(1, "/a/"));
@@ -423,17 +441,17 @@
 }
 
 #[test]
-fn a_process_that_leaves_takes_only_what_ends_before() {
+fn a_draining_process_accepts_only_requests_with_deadlines_before_its_end() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
     let end = process.now.steady + Duration::from_secs(4);
     process.send(Event::Drain { end });
     let mut short = request(1, "/a/");
     short.patience = Some(Duration::from_secs(3));
 
-    let taken = process.arrive(short);
+    let accepted = process.arrive(short);
     let refused = process.arrive(request(2, "/a/"));
 
-    assert_eq!(starts(&taken).len(), 1);
+    assert_eq!(starts(&accepted).len(), 1);
     let refusal = refusal(&refused);
     assert_eq!((refusal.reason, refusal.not_run), (Reason::Draining, true));
     assert_eq!(refusal.retry_after, Some(Duration::ZERO));
--- a/components/scheduler/tests/direct_eras.rs
+++ b/components/scheduler/tests/direct_eras.rs
@@ -1,7 +1,7 @@
-//! Direct dispatch while the platform's service comes back from an older copy of itself.
+//! Direct dispatch after the platform's service was restored from a backup, which begins a new era.
 //!
-//! Load: requests go on with a key and without while the copy shows an older configuration, targets
-//! that had left, and leaving ones as ready; processes start meanwhile.
+//! The backup has an older configuration, lists targets that had left and lists draining targets as ready.
+//! Requests arrive with and without a key, and processes start meanwhile.
 
 mod direct_support;
 
@@ -13,39 +13,42 @@
 };
 use scheduler::direct::{self, Event, Reason, Target, plan::Repeat};
 
-/// Longer than writers take to write again what a copy lacks.
-const REWRITTEN: Duration = Duration::from_millis(1_100);
-/// Longer than living targets take to be listed again.
-const RETURNED: Duration = Duration::from_millis(2_300);
+/// Longer than the time within which writers write the records again that a backup lacks.
+const AFTER_REWRITE: Duration = Duration::from_millis(1_100);
+/// Longer than the time within which live targets are listed again.
+const AFTER_RELISTING: Duration = Duration::from_millis(2_300);
 
-fn served(version: u64) -> Process {
+/// Returns a process with a configuration of this version and two targets.
+fn serving_process(version: u64) -> Process {
     process(plan(version, vec![route("/a/", Repeat::Safe)], None), targets(2))
 }
 
-/// The platform comes back from a copy that has an older configuration.
-fn drill(process: &mut Process, version: u64) {
+/// Restores the platform from a backup whose newest configuration has this version.
+fn restore_backup(process: &mut Process, version: u64) {
     process.era += 1;
-    prove(process, version);
+    confirm(process, version);
 }
 
-fn prove(process: &mut Process, version: u64) {
+/// Lets the process read the platform's newest configuration, which has this version.
+fn confirm(process: &mut Process, version: u64) {
     let (boot, era) = (process.now.boot, process.era);
     process.send(Event::Confirmed { boot, version, era });
 }
 
+/// Sends a request to the process; returns the targets to which waiting requests were dispatched.
 fn dispatched(process: &mut Process, ticket: u64) -> Vec<String> {
-    let started = starts(&process.arrive(request(ticket, "/a/")));
-    started.into_iter().map(|start| start.target).collect()
+    let dispatches = starts(&process.arrive(request(ticket, "/a/")));
+    dispatches.into_iter().map(|start| start.target).collect()
 }
 
 #[test]
-fn a_copy_with_an_older_configuration_proves_nothing() {
-    let mut process = served(7);
+fn a_backup_with_an_older_configuration_does_not_confirm_the_one_in_force() {
+    let mut process = serving_process(7);
 
     for _ in 0..5 {
-        drill(&mut process, 6);
+        restore_backup(&mut process, 6);
         process.pass(FRESHNESS / 4);
-        prove(&mut process, 6);
+        confirm(&mut process, 6);
     }
 
     let refused = refusal(&process.arrive(request(1, "/a/")));
@@ -54,50 +57,50 @@
 }
 
 #[test]
-fn what_was_written_again_proves_after_the_time_that_writers_take() {
-    let mut process = served(7);
-    drill(&mut process, 6);
+fn a_rewritten_configuration_is_confirmed_once_writers_had_time_to_write() {
+    let mut process = serving_process(7);
+    restore_backup(&mut process, 6);
 
     for _ in 0..5 {
-        process.pass(REWRITTEN);
-        prove(&mut process, 7);
+        process.pass(AFTER_REWRITE);
+        confirm(&mut process, 7);
     }
 
     assert_eq!(dispatched(&mut process, 1).len(), 1);
 }
 
 #[test]
-fn targets_that_a_copy_lacks_are_used_until_they_are_written_again() {
-    let mut process = served(7);
-    drill(&mut process, 7);
+fn targets_missing_in_a_backup_are_used_until_live_ones_must_be_listed_again() {
+    let mut process = serving_process(7);
+    restore_backup(&mut process, 7);
 
     process.list(Vec::new());
 
     assert_eq!(dispatched(&mut process, 1).len(), 1);
-    process.pass(RETURNED);
-    prove(&mut process, 7);
+    process.pass(AFTER_RELISTING);
+    confirm(&mut process, 7);
     assert_eq!(dispatched(&mut process, 2).len(), 0);
 }
 
 #[test]
-fn a_target_that_had_left_does_not_return_with_a_copy() {
-    let mut process = served(7);
+fn a_target_that_had_left_is_not_used_again_when_a_backup_lists_it() {
+    let mut process = serving_process(7);
     process.list(vec![target(1)]);
-    drill(&mut process, 7);
+    restore_backup(&mut process, 7);
 
     process.list(targets(2));
 
-    process.pass(RETURNED);
-    prove(&mut process, 7);
+    process.pass(AFTER_RELISTING);
+    confirm(&mut process, 7);
     let used: Vec<String> = (0..4).flat_map(|ticket| dispatched(&mut process, ticket)).collect();
     assert_eq!(used, ["target-1", "target-1"]);
 }
 
 #[test]
-fn a_target_that_was_leaving_stays_so_when_a_copy_shows_it_ready() {
-    let mut process = served(7);
+fn a_draining_target_gets_no_requests_when_a_backup_lists_it_as_ready() {
+    let mut process = serving_process(7);
     process.list(vec![Target { ready: false, ..target(0) }, target(1)]);
-    drill(&mut process, 7);
+    restore_backup(&mut process, 7);
 
     process.list(targets(2));
 
@@ -106,20 +109,20 @@
 }
 
 #[test]
-fn a_later_start_of_a_target_that_had_left_is_used() {
-    let mut process = served(7);
+fn a_target_that_had_left_is_used_after_a_restart() {
+    let mut process = serving_process(7);
     process.list(vec![target(1)]);
-    drill(&mut process, 7);
+    restore_backup(&mut process, 7);
 
     process.list(vec![Target { incarnation: 2, ..target(0) }]);
 
-    process.pass(RETURNED);
+    process.pass(AFTER_RELISTING);
     assert_eq!(dispatched(&mut process, 1), ["target-0"]);
 }
 
 #[test]
-fn a_position_of_a_newer_era_goes_before_any_offset() {
-    let mut process = served(7);
+fn a_list_of_a_newer_era_replaces_one_with_a_higher_offset() {
+    let mut process = serving_process(7);
     for _ in 0..5 {
         process.list(targets(2));
     }
@@ -131,38 +134,39 @@
     assert_eq!(used, ["target-1", "target-1"]);
 }
 
-/// A process that starts on a copy in a later era.
-fn starting(other: &Process) -> Process {
+/// Returns a process that starts in the second era and reads version 6 of the configuration from the restored
+/// backup.
+fn process_started_in_second_era(other: &Process) -> Process {
     let state = direct::open(other.now.steady, settings(2));
     let mut process = Process { state, now: other.now, era: 2, address: address(2) };
     process.send(Event::Planned(plan(6, vec![route("/a/", Repeat::Safe)], None).into()));
     process.list(targets(2));
-    prove(&mut process, 6);
+    confirm(&mut process, 6);
     process
 }
 
 #[test]
-fn a_process_that_starts_on_a_copy_serves_no_key_before_it_asked_another() {
-    let other = served(7);
-    let mut process = starting(&other);
+fn a_process_that_starts_on_a_backup_refuses_keys_until_a_peer_made_an_offer() {
+    let other = serving_process(7);
+    let mut process = process_started_in_second_era(&other);
     assert_eq!(refusal(&process.arrive(request(1, "/a/"))).reason, Reason::NotReady);
 
     process.ask(&other);
-    prove(&mut process, 6);
+    confirm(&mut process, 6);
 
-    // It knows a newer configuration now, which the copy doesn't prove.
+    // The process has the peer's newer configuration now, which the backup doesn't confirm.
     assert_eq!(process.state.known().plan, 7);
     assert_eq!(refusal(&process.arrive(request(2, "/a/"))).reason, Reason::NotReady);
-    prove(&mut process, 7);
+    confirm(&mut process, 7);
     assert_eq!(dispatched(&mut process, 3).len(), 1);
 }
 
 #[test]
-fn one_that_reaches_no_other_goes_by_the_copy_after_a_while() {
-    let mut process = starting(&served(7));
+fn a_process_that_starts_on_a_backup_without_peers_relies_on_it_after_a_while() {
+    let mut process = process_started_in_second_era(&serving_process(7));
 
     process.pass(Duration::from_millis(1_600));
-    prove(&mut process, 6);
+    confirm(&mut process, 6);
 
     assert_eq!(dispatched(&mut process, 1).len(), 1);
 }
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -1,8 +1,8 @@
-//! Direct dispatch: targets that start again under the name that they had.
+//! Direct dispatch to targets that restart under the same name.
 //!
-//! Load: a target dies with all its slots taken and is listed again at once, with the same name and
-//! address; entry processes hear of it at different times, and what the earlier start wrote may be
-//! read after what the last one wrote.
+//! A target crashes with all its slots in use and is listed again at once, with the same name and address but
+//! another incarnation. Entry processes learn of the restart at different times, and a record that the earlier
+//! incarnation wrote may be read after one of the last incarnation.
 
 mod direct_support;
 
@@ -19,40 +19,47 @@
     relay::{News, Topic},
 };
 
-const SLOTS: u64 = 2;
+/// Number of slots of each target of the fixtures.
+const TARGET_SLOTS: u64 = 2;
 
-fn served(targets: Vec<Target>) -> Process {
+/// Returns a process that uses these targets.
+fn serving_process(targets: Vec<Target>) -> Process {
     process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets)
 }
 
+/// Returns a target with this incarnation; that of the fixture's targets is 1.
 fn restarted(number: u16, incarnation: u64) -> Target {
     Target { incarnation, ..target(number) }
 }
 
-/// How many of the next requests are dispatched at once.
-fn room(process: &mut Process, from: u64) -> usize {
-    (from..from + 10).map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len()).sum()
+/// Sends ten requests with tickets from `first_ticket`; returns how many are dispatched at once.
+fn dispatched_at_once(process: &mut Process, first_ticket: u64) -> usize {
+    (first_ticket..first_ticket + 10)
+        .map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len())
+        .sum()
 }
 
 #[test]
-fn what_ran_at_an_earlier_start_holds_no_slot() {
-    let mut process = served(vec![target(1)]);
-    assert_eq!(room(&mut process, 0), 2);
+fn requests_at_an_earlier_incarnation_occupy_no_slots() {
+    let mut process = serving_process(vec![target(1)]);
+    assert_eq!(dispatched_at_once(&mut process, 0), 2);
 
     let effects = process.list(vec![restarted(1, 2)]);
 
-    // Two of those that waited take its slots.
+    // Two of the waiting requests take the slots of the new incarnation.
     assert_eq!(starts(&effects).len(), 2);
-    let told = |effect: &Effect| matches!(effect, Effect::Note(Note::Restarted(name)) if name == "target-1");
-    assert!(effects.iter().any(told));
+    let is_restart = |effect: &Effect| {
+        matches!(effect, Effect::Note(Note::Restarted(name)) if name == "target-1")
+    };
+    assert!(effects.iter().any(is_restart));
 }
 
 #[test]
-fn the_end_of_what_ran_at_an_earlier_start_frees_no_slot() {
-    let mut process = served(vec![target(1)]);
+fn the_end_of_a_request_at_an_earlier_incarnation_frees_no_slot() {
+    let mut process = serving_process(vec![target(1)]);
     process.arrive(request(1, "/a/"));
     process.list(vec![restarted(1, 2)]);
-    assert_eq!(room(&mut process, 10), 2);
+    assert_eq!(dispatched_at_once(&mut process, 10), 2);
 
     let effects = process.end(1, Outcome::Done);
 
@@ -60,15 +67,15 @@
 }
 
 #[test]
-fn pace_failures_and_being_left_alone_end_with_a_start() {
-    let mut process = served(targets(2));
+fn speed_failures_and_backoff_of_a_target_are_reset_by_a_restart() {
+    let mut process = serving_process(targets(2));
     for ticket in 0..8 {
-        let started = start(&process.arrive(request(ticket, "/a/")));
-        let slow = started.target == "target-0";
-        process.pass(Duration::from_millis(if slow { 200 } else { 1 }));
+        let dispatch = start(&process.arrive(request(ticket, "/a/")));
+        let is_slow = dispatch.target == "target-0";
+        process.pass(Duration::from_millis(if is_slow { 200 } else { 1 }));
         process.send(Event::Began { ticket });
-        process.end(ticket, if slow { Outcome::Unreached } else { Outcome::Done });
-        // What couldn't be sent goes to the other target.
+        process.end(ticket, if is_slow { Outcome::Unreached } else { Outcome::Done });
+        // A request that couldn't be sent was dispatched again to the other target.
         process.end(ticket, Outcome::Done);
     }
     assert_eq!(start(&process.arrive(request(20, "/a/"))).target, "target-1");
@@ -79,8 +86,8 @@
 }
 
 #[test]
-fn an_answer_about_an_earlier_start_says_nothing_of_the_last() {
-    let mut process = served(vec![target(1)]);
+fn a_probe_of_an_earlier_incarnation_does_not_affect_the_last_one() {
+    let mut process = serving_process(vec![target(1)]);
     process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Lost { crashed: true });
     process.list(vec![restarted(1, 2)]);
@@ -91,44 +98,45 @@
 }
 
 #[test]
-fn what_an_earlier_start_wrote_changes_nothing() {
-    let mut process = served(vec![restarted(1, 2)]);
+fn a_record_of_an_earlier_incarnation_is_ignored() {
+    let mut process = serving_process(vec![restarted(1, 2)]);
     process.arrive(request(1, "/a/"));
 
     process.list(vec![Target { ready: false, ..restarted(1, 1) }]);
 
-    assert_eq!(room(&mut process, 10) as u64, SLOTS - 1);
+    assert_eq!(dispatched_at_once(&mut process, 10) as u64, TARGET_SLOTS - 1);
 }
 
 #[test]
-fn a_relayed_older_list_brings_no_earlier_start_back() {
-    let behind = served(vec![restarted(1, 1)]);
-    let mut process = served(vec![target(1)]);
+fn an_older_list_of_a_peer_does_not_restore_an_earlier_incarnation() {
+    let stale_peer = serving_process(vec![restarted(1, 1)]);
+    let mut process = serving_process(vec![target(1)]);
     process.list(vec![restarted(1, 2)]);
 
-    process.ask(&behind);
+    process.ask(&stale_peer);
 
     let Some(News::Targets(listing)) = process.state.news(process.now, Topic::Targets) else {
-        panic!("it has a list");
+        panic!("the process has no list of targets to offer");
     };
     assert_eq!(listing.targets, [restarted(1, 2)]);
 }
 
 #[test]
-fn what_others_ran_at_an_earlier_start_counts_no_longer() {
-    let mut process = served(vec![restarted(1, 2)]);
-    let mut other = direct::open(process.now.steady, settings(2));
-    let mut row = other.row(process.now.steady);
+fn requests_of_peers_at_an_earlier_incarnation_do_not_count() {
+    let mut process = serving_process(vec![restarted(1, 2)]);
+    let mut peer = direct::open(process.now.steady, settings(2));
+    let mut row = peer.row(process.now.steady);
     let busy = Busy { target: "target-1".into(), incarnation: 1, requests: 2, unread: 0 };
     row.running = vec![busy];
 
     process.send(Event::Heard(vec![row]));
 
-    assert_eq!(room(&mut process, 10) as u64, SLOTS);
+    assert_eq!(dispatched_at_once(&mut process, 10) as u64, TARGET_SLOTS);
 }
 
+/// Guards against crashes that aren't counted since the target restarted before a probe could fail.
 #[test]
-fn a_target_that_started_again_died_of_what_broke_off_there() {
+fn a_restart_counts_as_a_crash_caused_by_requests_that_broke_off_before() {
     let poison = |ticket| direct::Request { fingerprint: [7; 16], ..request(ticket, "/a/") };
     let routes = vec![route("/a/", Repeat::Never)];
     let mut process = process(plan(1, routes, Some(limit(1e6))), vec![target(1)]);
--- a/components/scheduler/tests/direct_resumed.rs
+++ b/components/scheduler/tests/direct_resumed.rs
@@ -1,4 +1,4 @@
-//! Streams whose connection broke off after a part of them went to the caller.
+//! Direct dispatch of streams whose connection broke off after a part of them was passed to the caller.
 
 mod direct_support;
 
@@ -9,36 +9,38 @@
 use test_case::test_case;
 
 const MS: Duration = Duration::from_millis(1);
-const BROKEN: Outcome = Outcome::Lost { crashed: false };
-
-/// A process with so many targets.
-fn entry(count: u16) -> Process {
-    let mut entry = process(plan(1, vec![route("/resume/", Repeat::Resume)], None), targets(count));
-    // It earns repeats.
+/// Result of a dispatch whose answer ended incomplete without a sign that the target crashed.
+const BROKEN_OFF: Outcome = Outcome::Lost { crashed: false };
+
+/// Returns a process with `target_count` targets and a retry budget that isn't empty.
+fn entry_process(target_count: u16) -> Process {
+    let mut entry =
+        process(plan(1, vec![route("/resume/", Repeat::Resume)], None), targets(target_count));
+    // The retry budget fills with time.
     entry.pass(Duration::from_secs(30));
     entry.confirm();
-    // So long after an outage targets that vanish aren't used any more.
+    // This long after an outage, targets that are missing in the list aren't used any more.
     entry.pass(2_500 * MS);
     entry.confirm();
     entry
 }
 
-/// The dispatch of a stream ends after some of its events went to the caller.
-fn end(entry: &mut Process, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
+/// Ends the dispatch of a stream after a part of the stream was passed to the caller.
+fn end_begun_stream(entry: &mut Process, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
     let events = if outcome.may_have_run() { 3 } else { 0 };
     entry.send(Event::Ended { ticket, outcome, begun: true, events })
 }
 
-/// Guards against streams that are broken off for want of room while their callers still wait.
-#[test_case(&[BROKEN]; "its target broke off")]
-#[test_case(&[BROKEN, Outcome::Unreached]; "the next wasn't reached")]
-#[test_case(&[BROKEN, Outcome::Rejected]; "the next rejected it")]
-#[test_case(&[BROKEN, Outcome::Replaced]; "the next was replaced")]
-fn a_stream_that_broke_off_waits_for_another_target(outcomes: &[Outcome]) {
-    let mut entry = entry(outcomes.len() as u16);
+/// Guards against streams that end early since no target has a free slot, while their callers still wait.
+#[test_case(&[BROKEN_OFF]; "its target broke the connection off")]
+#[test_case(&[BROKEN_OFF, Outcome::Unreached]; "the next target was unreachable")]
+#[test_case(&[BROKEN_OFF, Outcome::Rejected]; "the next target rejected it")]
+#[test_case(&[BROKEN_OFF, Outcome::Replaced]; "the next target was replaced")]
+fn a_broken_off_stream_waits_for_another_target(outcomes: &[Outcome]) {
+    let mut entry = entry_process(outcomes.len() as u16);
     entry.arrive(request(1, "/resume/"));
     let mut effects: Vec<Effect> =
-        outcomes.iter().flat_map(|&outcome| end(&mut entry, 1, outcome)).collect();
+        outcomes.iter().flat_map(|&outcome| end_begun_stream(&mut entry, 1, outcome)).collect();
     entry.list(Vec::new());
 
     (0..48).for_each(|_| effects.extend(entry.pass(100 * MS)));
@@ -50,10 +52,10 @@
 }
 
 #[test]
-fn a_stream_that_broke_off_waits_no_longer_than_its_caller() {
-    let mut entry = entry(1);
+fn a_broken_off_stream_is_refused_at_its_deadline() {
+    let mut entry = entry_process(1);
     entry.arrive(request(1, "/resume/"));
-    end(&mut entry, 1, BROKEN);
+    end_begun_stream(&mut entry, 1, BROKEN_OFF);
 
     let effects = entry.pass(Duration::from_secs(5));
 
@@ -61,30 +63,30 @@
     assert_eq!(entry.state.open_requests(), 0);
 }
 
-/// Guards against streams that are broken off at once since the budget has no repeat left, and against
-/// more repeats than that allows.
+/// Guards against streams that end early since the retry budget is empty for the moment, and against more
+/// repeats than the budget allows.
 #[test]
-fn a_stream_that_broke_off_waits_for_a_repeat() {
-    let mut entry = entry(99);
+fn a_broken_off_stream_waits_until_the_retry_budget_allows_a_repeat() {
+    let mut entry = entry_process(99);
     (0..90).for_each(|ticket| drop(entry.arrive(request(ticket, "/resume/"))));
 
     let mut effects: Vec<Effect> =
-        (0..90).flat_map(|ticket| end(&mut entry, ticket, BROKEN)).collect();
-    let at_once = starts(&effects).len();
+        (0..90).flat_map(|ticket| end_begun_stream(&mut entry, ticket, BROKEN_OFF)).collect();
+    let resumed_at_once = starts(&effects).len();
     (0..45).for_each(|_| effects.extend(entry.pass(100 * MS)));
 
     assert!(refusals(&effects).is_empty(), "{effects:?}");
-    // 0.2 of 90 requests and 50 besides are allowed; others come with time.
+    // The budget allows a fifth of 90 requests and 50 more, a part of them only as time passes.
     let resumed = starts(&effects).len();
-    assert!(at_once < resumed && resumed <= 68, "{at_once} {resumed}");
+    assert!(resumed_at_once < resumed && resumed <= 68, "{resumed_at_once} {resumed}");
 }
 
-/// Guards against other requests that are held up by streams for which there is no repeat.
+/// Guards against new requests that are blocked by streams for which the retry budget is empty.
 #[test]
-fn a_stream_that_waits_for_a_repeat_holds_nobody_up() {
-    let mut entry = entry(99);
+fn a_stream_that_waits_for_the_retry_budget_does_not_block_other_requests() {
+    let mut entry = entry_process(99);
     (0..90).for_each(|ticket| drop(entry.arrive(request(ticket, "/resume/"))));
-    (0..90).for_each(|ticket| drop(end(&mut entry, ticket, BROKEN)));
+    (0..90).for_each(|ticket| drop(end_begun_stream(&mut entry, ticket, BROKEN_OFF)));
 
     let effects = entry.arrive(request(100, "/resume/"));
 
