--- a/components/scheduler/tests/direct.rs
+++ b/components/scheduler/tests/direct.rs
@@ -148,9 +148,9 @@
     let mut process = process(plan, vec![target(1)]);
     process.arrive(request(1, "/high/"));
     process.arrive(request(2, "/high/"));
-    let mut low_of_first = request(3, "/low/");
-    low_of_first.key = Some("first".into());
-    process.arrive(low_of_first);
+    let mut low_tier_request = request(3, "/low/");
+    low_tier_request.key = Some("first".into());
+    process.arrive(low_tier_request);
     process.arrive(request(4, "/high/"));
     process
 }
@@ -271,7 +271,7 @@
 /// Guards against error answers of targets that the process replaces by a refusal of its own.
 #[test_case(1, &[Outcome::Failed]; "no other target has a free slot")]
 #[test_case(5, &[Outcome::Failed, Outcome::Lost { crashed: false }]; "another target lost it")]
-#[test_case(5, &[Outcome::Failed, Outcome::Rejected, Outcome::Expired]; "the deadline passed at another target")]
+#[test_case(5, &[Outcome::Failed, Outcome::Rejected, Outcome::Expired]; "another target was too slow")]
 fn the_error_answer_of_a_target_is_passed_on_if_no_other_target_answers(
     count: u16,
     outcomes: &[Outcome],
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -1,8 +1,8 @@
 //! Direct dispatch to targets that restart under the same name.
 //!
-//! A target crashes with all its slots in use and is listed again at once, with the same name and address but
-//! another incarnation. Entry processes learn of the restart at different times, and a record that the earlier
-//! incarnation wrote may be read after one of the last incarnation.
+//! A target crashes with all its slots in use and is listed again at once, with the same name and address
+//! but another incarnation. Entry processes learn of the restart at different times, and a record that the
+//! earlier incarnation wrote may be read after one of the last incarnation.
 
 mod direct_support;
 
@@ -48,9 +48,7 @@
 
     // Two of the waiting requests take the slots of the new incarnation.
     assert_eq!(starts(&effects).len(), 2);
-    let is_restart = |effect: &Effect| {
-        matches!(effect, Effect::Note(Note::Restarted(name)) if name == "target-1")
-    };
+    let is_restart = |effect: &Effect| matches!(effect, Effect::Note(Note::Restarted(name)) if name == "target-1");
     assert!(effects.iter().any(is_restart));
 }
 
