--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -104,7 +104,7 @@
 /// with other incarnations of the same target. 0 where the time isn't known.
 pub type Incarnation = u64;
 
-/// A target as it stands in the platform's list.
+/// A target as listed by the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
     /// Name of the target; a restarted target may keep the name.
@@ -261,7 +261,7 @@
     },
     /// Addresses of entry processes became known, from the platform's service or from the settings.
     Introduced(Vec<Introduction>),
-    /// Rows about itself and others were received from another entry process.
+    /// Rows, each with the state of one entry process, were received from another entry process.
     Heard(Vec<Row>),
     /// A probe whether a target accepts connections ended.
     Probed {
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -4,6 +4,9 @@
 //! A request waits in a queue until a target has a free slot, highest tier first, and is dispatched once.
 //! Requests that may be repeated are dispatched again if a dispatch fails, within the attempts that their
 //! route allows and the retry budget of their pool.
+//!
+//! Entry processes regularly exchange rows ([`peers::Row`]): each row holds what the other processes have to
+//! know about one process.
 
 mod admit;
 pub mod allowance;
@@ -72,7 +75,7 @@
 const LIMIT_WAIT_PART: f64 = 0.4;
 /// Maximum retry time in seconds that is suggested to a caller whose account exceeds its limit.
 const LIMIT_RETRY_MAX: f64 = 30.0;
-/// Maximum retry time that is suggested to a caller where no target has a free slot.
+/// Maximum retry time that is suggested to a caller whose queued request is refused.
 const RETRY_MAX: Duration = Duration::from_secs(4);
 /// Retry time that is suggested to a caller where the configuration is missing or may be out of date.
 const RETRY: Duration = Duration::from_millis(400);
@@ -90,13 +93,13 @@
 /// Minimum time without data from a target after which a request that may be repeated waits for a slot at
 /// another target.
 const SILENT: Duration = Duration::from_millis(500);
-/// Time without data from a target after which such a request waits for a slot at another target, in
-/// multiples of the expected time to the first event; at least [`SILENT`].
+/// Multiple of the expected time to the first event: after this time without data from a target, but no
+/// earlier than after [`SILENT`], a request that may be repeated waits for a slot at another target.
 const SILENT_TIMES: u32 = 4;
 /// Time for which a request that may have run waits for another target while no part of its answer was
 /// passed to its caller; after that the caller may retry itself.
 const REPEAT_WAIT: Duration = Duration::from_millis(1_500);
-/// Deadline that is assumed for a request whose caller doesn't state one.
+/// Time to the deadline of a request whose caller doesn't state one.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Settings of the reducer, fixed for the lifetime of the process.
@@ -110,7 +113,8 @@
     pub zone: ZoneName,
     /// Maximum time since the configuration was last known to be current for which API keys are accepted.
     pub freshness: Duration,
-    /// Time after which another process that wasn't heard from can't accept requests with a key any more.
+    /// Time after the last row or registration of another process from which on that process can't accept
+    /// requests with a key any more.
     pub gone: Duration,
     /// Limits of the retry budget of each pool.
     pub repeats: budget::Rule,
@@ -120,7 +124,7 @@
     pub exposure: f64,
 }
 
-/// Ages of what this process knows about the platform; `None` where it knows nothing.
+/// Ages of the information that this process has about the platform; `None` where it has none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ages {
     /// Time since this process last confirmed that its configuration is current.
@@ -135,6 +139,7 @@
     settings: Settings,
     /// Time at which the process started.
     opened: Instant,
+    /// Configuration in force; `None` before the first one was read.
     plan: Option<Arc<Plan>>,
     /// Rank of the lowest tier of each pool whose streams have several tiers.
     lowest: BTreeMap<PoolName, u32>,
@@ -142,6 +147,7 @@
     lowest_account: u32,
     /// Time by the boot clock at which the configuration was last confirmed to be current.
     confirmed: Option<Duration>,
+    /// Whether the configuration counts as current, so that API keys are accepted.
     fresh: bool,
     /// Time by the boot clock at which the platform last answered this process or another one that
     /// reported it.
@@ -153,7 +159,7 @@
     listing: Listing,
     /// Time at which the platform last answered a read of its list of targets.
     list_answered: Option<Instant>,
-    /// Versions that other processes offer, by their addresses; only of processes that have something
+    /// Versions of what other processes offer, by their addresses; only of processes that have something
     /// that this one lacks.
     offers: BTreeMap<SocketAddr, Known>,
     /// Topics for which a fetch from another process is in flight.
@@ -169,7 +175,9 @@
     /// Whether any other process has sent an offer.
     heard_offer: bool,
     capacity: Capacity,
+    /// Requests that haven't ended.
     requests: HashMap<Ticket, Pending>,
+    /// Requests that wait for a slot, by pool, in the order in which they are dispatched.
     waiting: BTreeMap<PoolName, BTreeSet<Order>>,
     /// Times at which waiting requests may be reserved at one more agent.
     reserve_at: BTreeSet<Instant>,
@@ -178,17 +186,23 @@
     /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
     /// has to be computed again.
     next_grant: Option<Instant>,
+    /// Times at which something has to be decided about a request, unless it ended before.
     timers: BTreeSet<(Instant, Ticket)>,
+    /// Use of the limit of each account.
     accounts: BTreeMap<AccountName, Allowance>,
+    /// Retry budgets by pool.
     budgets: BTreeMap<PoolName, Budget>,
+    /// Mean times for which requests hold their slots, by pool and tier.
     holds: Holds,
     rollouts: Rollouts,
     peers: Peers,
+    /// Index of this process among the entry processes that may take requests, and their number.
     place: Place,
     /// Number of entry processes, this one included, whose rows are current.
     heard: u32,
     /// Number of entry processes, this one included, whose parts of limits this one may use.
     together: u32,
+    /// Sequence number of the last row that this process made about itself.
     sequence: u64,
     crashes: Crashes,
     /// Time from which crash counts may be fetched again.
@@ -248,8 +262,10 @@
 /// A dispatch whose connection broke off, possibly because its target crashed.
 #[derive(Clone, Debug)]
 struct Loss {
+    /// Time at which the connection broke off.
     at: Instant,
     target: String,
+    /// Fingerprint of the request.
     body: Fingerprint,
     /// Whether the target accepted a connection afterwards: then only its restart proves that it crashed.
     reached: bool,
@@ -462,7 +478,7 @@
         self.list_answered.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns the ages of what this process knows about the platform.
+    /// Returns the ages of the information that this process has about the platform.
     pub fn ages(&self, now: Now) -> Ages {
         let age = |at: Duration| now.boot.saturating_sub(at);
         Ages { proof: self.confirmed.map(age), answered: self.answered.map(age) }
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -56,8 +56,8 @@
         self.list_answered = Some(now.steady);
     }
 
-    /// Records that the platform's newest configuration had this version at the time `boot` of the boot
-    /// clock.
+    /// Records that at the time `boot`, by the boot clock, the platform's newest configuration had this
+    /// version and its service this era.
     pub(super) fn confirm(&mut self, now: Now, boot: Duration, version: u64, era: Era) {
         self.record_platform_answer(now);
         self.enter(now.steady, era);
