--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -1,10 +1,11 @@
-//! The targets, what runs at each, and which one a request goes to.
+//! Capacity of the targets: their slots, the requests that run at each, and the choice of a target.
 //!
-//! A target with no more slots than there are entry processes is reached by a reservation at the agent
-//! beside it; one without, where it has fewer, at the agent of another target that all of them agree on.
-//! Else, and where no agent answers, entry processes share the slots without asking each other first: each
-//! has a part of the slots that it may always use, and may use slots that the others' last rows show as
-//! free.
+//! A target that has no more slots than there are entry processes is reached by a reservation at its own
+//! agent. A target that has no agent and fewer slots than there are entry processes is reached by a
+//! reservation at the agent of another target; all entry processes choose the same one. For all other
+//! targets, and while the agent is unreachable, entry processes share the slots without a round trip: each
+//! may always use its guaranteed part of the slots, and may use slots that are free according to the last
+//! rows (state reports) of the other entry processes.
 
 mod agents;
 mod demand;
@@ -23,7 +24,7 @@
 
 use crate::rate::{News, Pacer};
 
-use demand::cheaper;
+use demand::compare_costs;
 pub use demand::{Demand, Slot, Ways};
 
 use super::{
@@ -33,448 +34,501 @@
     rollout::{Lane, Version},
 };
 
-/// Weight of the newest observation in a moving average.
-const NEWEST: f64 = 0.2;
-/// Time for which a target that took no connection is left alone; doubles with each repeat.
-const DOWN_MIN: Duration = Duration::from_millis(250);
-/// Longest time for which it is left alone.
-const DOWN_MAX: Duration = Duration::from_secs(2);
-/// Time for which a target that rejected a request gets no other.
-const FULL: Duration = Duration::from_millis(60);
-/// How much a target that always fails seems slower than one that never does.
-const FAILURE_COST: f64 = 8.0;
-/// Tokens that cost as much as what every request costs besides its prompt.
-const FIXED_TOKENS: f64 = 600.0;
-/// Slots of each target that the lowest tier leaves to the others where its requests hold theirs for
-/// longest: its long streams would else hold every slot while the short requests of higher tiers wait.
-/// A lowest tier of short answers gives its slots back at once.
-const KEPT: u32 = 1;
-/// Time, in ms, for which a target may still have prompts to read when it gets the next.
-const READING: f64 = 150.0;
-/// How much longer than expected an answer may be that still has to end in time: one of six is longer.
-const LONGER: f64 = 1.6;
-/// How much slower than the fastest a target may be that takes answers which may not end in time there.
-const FASTEST: f64 = 1.2;
-/// Part of the targets that may be faster than what counts as the fastest.
-const FASTEST_PART: f64 = 0.1;
-/// Time to the first event that is assumed of a request before any was seen, in ms a token.
-const FIRST_GUESS: f64 = 0.05;
-
-/// A target and what this process knows of it.
+/// Weight of the newest observation in the exponential moving averages.
+const EWMA_WEIGHT: f64 = 0.2;
+/// First backoff from a target that accepts no connection or is silent; doubles with each repeat.
+const MIN_UNREACHABLE_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest backoff from a target that accepts no connection or is silent.
+const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(2);
+/// Time for which a target that rejected a request gets no other request.
+const REJECTION_BACKOFF: Duration = Duration::from_millis(60);
+/// Added cost of a target that fails every request, as a multiple of the cost of one that never fails.
+const FAILURE_COST_FACTOR: f64 = 8.0;
+/// Cost that every request has in addition to reading its prompt, in prompt tokens.
+const FIXED_COST_TOKENS: f64 = 600.0;
+/// Slots of each target that the lowest tier may not use if its requests hold slots longer than those of
+/// all other tiers. Otherwise its long streams would occupy every slot while short requests of higher tiers
+/// wait. A lowest tier with short answers frees its slots soon enough and may use all of them.
+const SLOTS_WITHHELD_FROM_LOWEST_TIER: u32 = 1;
+/// Longest expected time, in ms, to read the pending prompts of a target that may get another request.
+const MAX_PREFILL_BACKLOG_MS: f64 = 150.0;
+/// Factor on the expected length of an answer when its end is checked against the deadline: one answer of
+/// six is longer than that.
+const ANSWER_LENGTH_MARGIN: f64 = 1.6;
+/// Largest ratio between the time per token of a target that counts as fast and that of the fastest targets.
+/// Fast targets accept answers that may miss their deadline, since no other target would do better.
+const MAX_FAST_SLOWDOWN: f64 = 1.2;
+/// Quantile of the targets' per-token times, from 0 to 1, that counts as the fastest.
+const FASTEST_QUANTILE: f64 = 0.1;
+/// Time to the first event, in ms per prompt token, assumed until one was observed in the pool.
+const DEFAULT_FIRST_EVENT_MS_PER_TOKEN: f64 = 0.05;
+
+/// A target with the load, speed and availability that this process has observed or received.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// As listed.
+    /// The target's entry in the platform's list.
     pub target: Target,
-    /// Where the agent listens that admits requests to it; `None` where rows decide.
+    /// Address of the agent that admits requests to the target; `None` if entry processes share its slots by
+    /// the rows that they exchange.
     pub agent: Option<SocketAddr>,
-    /// Requests of this process that it has.
+    /// Requests of this process that hold a slot at the target.
     pub own: u32,
-    /// Requests of the others, by their last rows or by what its agent last said.
+    /// Requests of other processes at the target, by their last rows or the agent's last load report.
     pub others: u32,
-    /// Tokens of own prompts whose answers haven't begun.
-    unread: f64,
-    /// The same of the others, by their last rows.
-    others_unread: f64,
-    /// Whether the platform still lists it.
+    /// Prompt tokens of this process's requests at the target whose answers haven't begun.
+    own_prefill_tokens: f64,
+    /// Prompt tokens of other processes' requests whose answers haven't begun, by their last rows.
+    others_prefill_tokens: f64,
+    /// Whether the platform still lists the target.
     pub listed: bool,
-    /// Which requests it takes.
+    /// Which requests the target accepts: those for the base version, for the ordered version, or none.
     lane: Lane,
-    down_until: Option<Instant>,
-    down_for: Duration,
-    /// Until when its agent is left alone.
-    away_until: Option<Instant>,
-    away_for: Duration,
-    /// What its agent said last, and when.
-    told: Option<(Instant, Load)>,
-    /// Time to the first event, in ms a token; `None` before the first.
-    first: Option<f64>,
-    /// Time for each token of an answer, in ms, as its agent says.
-    pace: Option<f64>,
-    /// Part of the requests that failed or were lost.
-    failing: f64,
-    /// What was last heard of its rate limit; `None` where it never named one.
+    /// End of the backoff from the target; `None` before the first one.
+    backoff_until: Option<Instant>,
+    /// Length of the last backoff from an unreachable or silent target; zero once it begins an answer.
+    unreachable_backoff: Duration,
+    /// End of the backoff from the target's agent; `None` before the first one.
+    agent_backoff_until: Option<Instant>,
+    /// Length of the last backoff from the agent; zero once the agent granted a reservation.
+    agent_backoff: Duration,
+    /// The last load report of the agent and when it was received.
+    last_load: Option<(Instant, Load)>,
+    /// Moving average of the time to the first event, in ms per prompt token; `None` before the first.
+    first_event_ms_per_token: Option<f64>,
+    /// Time per token of an answer, in ms, as its agent reports it; `None` if unknown.
+    ms_per_token: Option<f64>,
+    /// Moving average of the part of requests, from 0 to 1, that failed or were lost.
+    failure_rate: f64,
+    /// The newest information on the target's rate limit; `None` if the target never named one.
     limit: Option<News>,
-    /// Spaces what goes there without an agent's grant; `Some` just where `limit` names an interval.
+    /// Spaces requests that are sent without an agent's grant; `Some` only while `limit` has an interval.
     pacer: Option<Pacer>,
-    /// When its agent may admit the next request, as far as is known; counts only while it is limited.
-    next_grant: Option<Instant>,
+    /// Estimate of when the agent admits the next request; used only while the target is rate-limited.
+    expected_grant: Option<Instant>,
 }
 
-/// Which of the entry processes this is.
+/// This process's index among the entry processes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Place {
-    /// Its number among them, from 0.
+    /// Index of this process, from 0.
     pub index: u32,
-    /// How many there are; at least 1.
+    /// Number of entry processes; at least 1.
     pub among: u32,
 }
 
-/// All targets.
+/// The state of all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Capacity {
-    /// In the order of their names.
+    /// Targets, sorted by name.
     states: Vec<TargetState>,
-    places: HashMap<TargetName, usize>,
+    /// Index of each target in `states`.
+    indexes: HashMap<TargetName, usize>,
+    /// Indexes in `states` of the targets of each pool.
     pools: HashMap<PoolName, Vec<usize>>,
-    /// Other entry processes that may share the targets.
-    others: usize,
+    /// Number of other entry processes that may share the targets.
+    other_processes: usize,
 }
 
 impl TargetState {
-    fn open(target: Target) -> TargetState {
+    fn new(target: Target) -> TargetState {
         TargetState {
             agent: target.agent,
             target,
             own: 0,
             others: 0,
-            unread: 0.0,
-            others_unread: 0.0,
+            own_prefill_tokens: 0.0,
+            others_prefill_tokens: 0.0,
             listed: true,
             lane: Lane::Base,
-            down_until: None,
-            down_for: Duration::ZERO,
-            away_until: None,
-            away_for: Duration::ZERO,
-            told: None,
-            first: None,
-            pace: None,
-            failing: 0.0,
+            backoff_until: None,
+            unreachable_backoff: Duration::ZERO,
+            agent_backoff_until: None,
+            agent_backoff: Duration::ZERO,
+            last_load: None,
+            first_event_ms_per_token: None,
+            ms_per_token: None,
+            failure_rate: 0.0,
             limit: None,
             pacer: None,
-            next_grant: None,
+            expected_grant: None,
         }
     }
 
-    /// Slots that this process may use whatever the others do. They differ by one where they
-    /// don't come out even; who gets more differs by target.
-    fn part(&self, place: Place) -> u32 {
+    /// Returns the slots that this process may use whatever the other processes do. If the slots can't be
+    /// divided evenly, some processes get one more; which ones differs by target.
+    fn guaranteed_slots(&self, place: Place) -> u32 {
         let slots = self.target.slots;
-        slots / place.among + u32::from(self.position(place) < slots % place.among)
+        slots / place.among + u32::from(self.rotated_index(place) < slots % place.among)
     }
 
-    /// The place of a process among those that share the target; it differs by target.
-    fn position(&self, place: Place) -> u32 {
-        let turn = self
+    /// Returns the index of a process among those that share the target, rotated by a number that differs by
+    /// target.
+    fn rotated_index(&self, place: Place) -> u32 {
+        let rotation = self
             .target
             .name
             .bytes()
             .fold(0_u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte));
-        (place.index + turn % place.among) % place.among
+        (place.index + rotation % place.among) % place.among
     }
 
-    fn has_room(&self, place: Place, demand: &Demand<'_>) -> bool {
+    /// Reports whether a request may take a slot: one that no process uses, or one that is guaranteed to this
+    /// process. A request of the lowest tier must leave the withheld slots free.
+    fn has_free_slot(&self, place: Place, demand: &Demand<'_>) -> bool {
         let used = self.own + self.others;
-        if demand.lowest && used + KEPT >= self.target.slots {
+        if demand.lowest && used + SLOTS_WITHHELD_FROM_LOWEST_TIER >= self.target.slots {
             return false;
         }
         let free = self.target.slots.saturating_sub(used);
-        free > 0 || (self.own < self.part(place) && used <= self.target.slots)
+        free > 0 || (self.own < self.guaranteed_slots(place) && used <= self.target.slots)
     }
 
+    /// Reports whether the target accepts requests: it is listed, ready and not in backoff, and its
+    /// version accepts requests.
     fn is_up(&self, now: Instant) -> bool {
-        let open = self.listed && self.target.ready && self.lane != Lane::Shut;
-        open && self.down_until.is_none_or(|until| until <= now)
+        let is_open = self.listed && self.target.ready && self.lane != Lane::Shut;
+        is_open && self.backoff_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether requests reach it by way of its agent.
-    fn is_reserved(&self, now: Instant) -> bool {
-        self.agent.is_some() && self.away_until.is_none_or(|until| until <= now)
+    /// Reports whether requests for the target are reserved at an agent, which must not be in backoff.
+    fn uses_agent(&self, now: Instant) -> bool {
+        self.agent.is_some() && self.agent_backoff_until.is_none_or(|until| until <= now)
     }
 
-    /// Tokens that are read before the first event of a request.
-    fn load(&self, tokens: f64) -> f64 {
-        self.unread + self.others_unread + tokens + FIXED_TOKENS
+    /// Returns the prompt tokens to be read before the first event of a request with a prompt of `tokens`
+    /// tokens.
+    fn prefill_tokens_ahead(&self, tokens: f64) -> f64 {
+        self.own_prefill_tokens + self.others_prefill_tokens + tokens + FIXED_COST_TOKENS
     }
 
-    fn cost(&self, tokens: f64, zone: &str, usual: f64) -> f64 {
-        let first = self.first.unwrap_or(usual) * self.load(tokens);
-        let busy = f64::from(self.own + self.others) / f64::from(self.target.slots.max(1));
-        let far = if self.target.zone == zone { 0.0 } else { 1.0 };
-        (first + far) * (1.0 + busy) * (1.0 + FAILURE_COST * self.failing)
+    /// Returns the cost of a request at the target, in ms: the expected time to the first event plus 1 ms for
+    /// another availability zone, scaled up by used slots and by failures.
+    fn cost(&self, tokens: f64, zone: &str, default_ms_per_token: f64) -> f64 {
+        let first_event_ms = self.first_event_ms_per_token.unwrap_or(default_ms_per_token)
+            * self.prefill_tokens_ahead(tokens);
+        let utilization = f64::from(self.own + self.others) / f64::from(self.target.slots.max(1));
+        let zone_cost_ms = if self.target.zone == zone { 0.0 } else { 1.0 };
+        (first_event_ms + zone_cost_ms)
+            * (1.0 + utilization)
+            * (1.0 + FAILURE_COST_FACTOR * self.failure_rate)
     }
 
-    /// Whether it still reads prompts for so long that a request is better kept back: what has a
-    /// higher rank may come before it then.
-    fn reads(&self, usual: f64) -> bool {
-        self.first.unwrap_or(usual) * (self.unread + self.others_unread) > READING
+    /// Reports whether the target still needs so long to read pending prompts that the next request is better
+    /// kept in the queue, where a request of a higher tier can still overtake it.
+    fn has_prefill_backlog(&self, default_ms_per_token: f64) -> bool {
+        self.first_event_ms_per_token.unwrap_or(default_ms_per_token)
+            * (self.own_prefill_tokens + self.others_prefill_tokens)
+            > MAX_PREFILL_BACKLOG_MS
     }
 
-    /// Whether a long answer ends in time here, or is better off nowhere else.
-    fn ends_in_time(&self, demand: &Demand<'_>, fastest: f64) -> bool {
+    /// Reports whether the answer is expected to end before its deadline at this target, or the target is
+    /// among the fastest. A target of unknown speed counts as fast.
+    fn finishes_in_time(&self, demand: &Demand<'_>, fastest_ms_per_token: f64) -> bool {
         let left_ms = demand.left.as_secs_f64() * 1_000.0;
-        let ends = |pace: f64| pace * demand.output * LONGER <= left_ms;
-        self.is_fast(fastest) || self.pace.is_none_or(ends)
+        let finishes =
+            |ms_per_token: f64| ms_per_token * demand.output * ANSWER_LENGTH_MARGIN <= left_ms;
+        self.is_fast(fastest_ms_per_token) || self.ms_per_token.is_none_or(finishes)
     }
 
-    /// Whether no target is known to be much faster.
-    fn is_fast(&self, fastest: f64) -> bool {
-        self.pace.is_none_or(|pace| pace <= fastest * FASTEST)
+    /// Reports whether the target's speed is unknown or close to that of the fastest targets.
+    fn is_fast(&self, fastest_ms_per_token: f64) -> bool {
+        self.ms_per_token
+            .is_none_or(|ms_per_token| ms_per_token <= fastest_ms_per_token * MAX_FAST_SLOWDOWN)
     }
 
-    /// Time for each token of an answer, in ms, as its agent says.
+    /// Returns the time per token of an answer, in ms, as its agent reports it; `None` if unknown.
     pub fn pace(&self) -> Option<f64> {
-        self.pace
+        self.ms_per_token
     }
 
-    fn occupy(&mut self, tokens: f64, usual: f64) -> Slot {
-        let load = self.load(tokens);
+    /// Takes a slot for a request with a prompt of `tokens` tokens.
+    fn occupy(&mut self, tokens: f64, default_ms_per_token: f64) -> Slot {
+        let prefill_tokens = self.prefill_tokens_ahead(tokens);
         self.own += 1;
-        self.unread += tokens;
-        let first_ms = self.first.unwrap_or(usual) * load;
+        self.own_prefill_tokens += tokens;
+        let first_ms =
+            self.first_event_ms_per_token.unwrap_or(default_ms_per_token) * prefill_tokens;
         Slot {
             target: self.target.name.clone(),
             incarnation: self.target.incarnation,
             address: self.target.address,
-            unread: tokens,
-            load,
+            pending_prefill_tokens: tokens,
+            prefill_tokens,
             first: Duration::from_secs_f64(first_ms / 1_000.0),
             ordered: self.lane == Lane::Ordered,
         }
     }
 
-    fn leave_alone(&mut self, now: Instant, time: Duration) {
+    /// Sends the target no requests for `time`, or for longer if an earlier backoff ends later.
+    fn back_off(&mut self, now: Instant, time: Duration) {
         let until = now + time;
-        self.down_until = Some(self.down_until.map_or(until, |at| at.max(until)));
+        self.backoff_until = Some(self.backoff_until.map_or(until, |at| at.max(until)));
     }
 }
 
 impl Capacity {
-    /// Takes the platform's list in; targets that aren't in it take no more requests. Gives those
-    /// that started again, of which nothing is known any more: what ran there has ended, and their
-    /// pace and failures were those of another process.
+    /// Replaces the list of targets by the platform's. Targets that aren't in it accept no more requests and
+    /// are kept only while they have requests of this process. Returns the targets that restarted; their
+    /// state is reset, since their requests have ended and their speed and failures were those of another
+    /// process.
     pub fn list(&mut self, targets: Vec<Target>) -> Vec<TargetName> {
         let mut restarted = Vec::new();
-        let before = std::mem::take(&mut self.states).into_iter();
-        let mut before: BTreeMap<TargetName, TargetState> =
-            before.map(|state| (state.target.name.clone(), state)).collect();
+        let previous = std::mem::take(&mut self.states).into_iter();
+        let mut previous: BTreeMap<TargetName, TargetState> =
+            previous.map(|state| (state.target.name.clone(), state)).collect();
         for target in targets {
-            let state = match before.remove(&target.name) {
-                // What an earlier start wrote may arrive after what the last one wrote.
+            let state = match previous.remove(&target.name) {
+                // A record of an earlier incarnation may reach the platform after that of a later one.
                 Some(state) if state.target.incarnation > target.incarnation => state,
                 Some(state) if state.target.incarnation == target.incarnation => {
                     TargetState { target, listed: true, ..state }
                 }
                 Some(_) => {
                     restarted.push(target.name.clone());
-                    TargetState::open(target)
+                    TargetState::new(target)
                 }
-                None => TargetState::open(target),
+                None => TargetState::new(target),
             };
             self.states.push(state);
         }
-        let vanished = before.into_values().map(|state| TargetState { listed: false, ..state });
-        self.states.extend(vanished);
+        let delisted = previous.into_values().map(|state| TargetState { listed: false, ..state });
+        self.states.extend(delisted);
         self.states.retain(|state| state.listed || state.own > 0);
         self.states.sort_by(|a, b| a.target.name.cmp(&b.target.name));
-        self.places.clear();
+        self.indexes.clear();
         self.pools.clear();
-        for (place, TargetState { target, .. }) in self.states.iter().enumerate() {
-            self.places.insert(target.name.clone(), place);
-            self.pools.entry(target.pool.clone()).or_default().push(place);
+        for (index, TargetState { target, .. }) in self.states.iter().enumerate() {
+            self.indexes.insert(target.name.clone(), index);
+            self.pools.entry(target.pool.clone()).or_default().push(index);
         }
         self.assign_agents();
         restarted
     }
 
-    /// A target.
+    /// Returns the state of a target; `None` if the target is unknown.
     pub fn state(&self, name: &TargetName) -> Option<&TargetState> {
-        self.states.get(*self.places.get(name)?)
+        self.states.get(*self.indexes.get(name)?)
     }
 
-    /// All targets that are listed now.
+    /// Returns the targets that the platform lists now.
     pub fn listed(&self) -> impl Iterator<Item = &Target> {
         self.states.iter().filter(|state| state.listed).map(|state| &state.target)
     }
 
-    /// Slots of a pool that no process uses, and all of them, at targets that take requests.
+    /// Returns the number of unused slots and of all slots at the targets of a pool that accept requests.
     pub fn slots(&self, now: Instant, pool: &str) -> (u32, u32) {
-        self.pool(pool).filter(|state| state.is_up(now)).fold((0, 0), |(free, all), state| {
-            let slots = state.target.slots;
-            (free + slots.saturating_sub(state.own + state.others), all + slots)
-        })
+        self.pool_targets(pool).filter(|state| state.is_up(now)).fold(
+            (0, 0),
+            |(free, all), state| {
+                let slots = state.target.slots;
+                (free + slots.saturating_sub(state.own + state.others), all + slots)
+            },
+        )
     }
 
-    /// Counts what the other processes run at targets whose agents aren't asked.
+    /// Replaces the load of other processes at targets that aren't reached by an agent.
     pub fn count_others<'a>(&mut self, now: Instant, running: impl Iterator<Item = &'a Busy>) {
-        for state in self.states.iter_mut().filter(|state| !state.is_reserved(now)) {
+        for state in self.states.iter_mut().filter(|state| !state.uses_agent(now)) {
             state.others = 0;
-            state.others_unread = 0.0;
+            state.others_prefill_tokens = 0.0;
         }
         for busy in running {
-            let state = self.current(&busy.target, busy.incarnation);
-            if let Some(state) = state.filter(|state| !state.is_reserved(now)) {
+            let state = self.state_mut(&busy.target, busy.incarnation);
+            if let Some(state) = state.filter(|state| !state.uses_agent(now)) {
                 state.others += busy.requests;
-                state.others_unread += f64::from(busy.unread);
+                state.others_prefill_tokens += f64::from(busy.unread);
             }
         }
     }
 
-    /// What this process runs at targets whose agents aren't asked, for the others.
+    /// Returns the load of this process at targets that aren't reached by an agent, to be sent to the other
+    /// entry processes.
     pub fn running(&self, now: Instant) -> Vec<Busy> {
-        let told = |state: &TargetState| state.own > 0 && !state.is_reserved(now);
-        let busy = self.states.iter().filter(|state| told(state)).map(|state| Busy {
+        let is_shared = |state: &TargetState| state.own > 0 && !state.uses_agent(now);
+        let busy = self.states.iter().filter(|state| is_shared(state)).map(|state| Busy {
             target: state.target.name.clone(),
             incarnation: state.target.incarnation,
             requests: state.own,
-            unread: state.unread as u32,
+            unread: state.own_prefill_tokens as u32,
         });
         busy.collect()
     }
 
-    /// Takes a slot for a request at the target that should answer it first; `None` where none
-    /// has room.
+    /// Takes a slot for a request at the target with the lowest cost, without asking an agent. Returns `None`
+    /// if no target that is reached without an agent has a free slot.
     pub fn take(&mut self, now: Instant, place: Place, demand: &Demand<'_>) -> Option<Slot> {
-        let usual = self.usual(demand.pool);
-        let open = self.pool(demand.pool).filter(|state| {
+        let default_ms_per_token = self.mean_first_event_ms_per_token(demand.pool);
+        let candidates = self.pool_targets(demand.pool).filter(|state| {
             state.lane == demand.lane
                 && state.is_up(now)
-                && !state.is_reserved(now)
-                && state.has_room(place, demand)
-                && state.is_due(now, place)
-                && !state.reads(usual)
+                && !state.uses_agent(now)
+                && state.has_free_slot(place, demand)
+                && state.limit_allows(now, place)
+                && !state.has_prefill_backlog(default_ms_per_token)
         });
-        let open = open.filter(|state| !demand.tried.contains(&state.target.name));
+        let candidates = candidates.filter(|state| !demand.tried.contains(&state.target.name));
         let cost = |state: &TargetState| {
-            (demand.is_rejected(state), state.cost(demand.tokens, demand.zone, usual))
+            (
+                demand.was_rejected_by(state),
+                state.cost(demand.tokens, demand.zone, default_ms_per_token),
+            )
         };
-        let best = open.min_by(|a, b| cheaper(cost(a), cost(b)))?;
-        let place = *self.places.get(&best.target.name)?;
-        let state = self.states.get_mut(place)?;
+        let best = candidates.min_by(|a, b| compare_costs(cost(a), cost(b)))?;
+        let index = *self.indexes.get(&best.target.name)?;
+        let state = self.states.get_mut(index)?;
         if let Some(pacer) = &mut state.pacer {
             pacer.take(now);
         }
-        Some(state.occupy(demand.tokens, usual))
+        Some(state.occupy(demand.tokens, default_ms_per_token))
     }
 
-    /// Tells the listed targets which requests they take.
+    /// Sets the lane of each listed target. `lanes` returns the lanes of a pool's targets in the order of the
+    /// given versions, each of which comes with whether the target is ready.
     pub fn assign(&mut self, mut lanes: impl FnMut(&PoolName, &[(&Version, bool)]) -> Vec<Lane>) {
-        for (pool, places) in &self.pools {
-            let states = places.iter().filter_map(|&place| Some((place, self.states.get(place)?)));
+        for (pool, indexes) in &self.pools {
+            let states = indexes.iter().filter_map(|&index| Some((index, self.states.get(index)?)));
             let listed: Vec<_> = states.filter(|(_, state)| state.listed).collect();
             let targets: Vec<(&Version, bool)> = listed
                 .iter()
                 .map(|(_, state)| (&state.target.version, state.target.ready))
                 .collect();
             let assigned = lanes(pool, &targets);
-            let places: Vec<usize> = listed.into_iter().map(|(place, _)| place).collect();
-            for (place, lane) in places.into_iter().zip(assigned) {
-                self.states[place].lane = lane;
+            let indexes: Vec<usize> = listed.into_iter().map(|(index, _)| index).collect();
+            for (index, lane) in indexes.into_iter().zip(assigned) {
+                self.states[index].lane = lane;
             }
         }
     }
 
-    /// Ready targets whose version takes no requests.
+    /// Returns the number of ready targets whose version accepts no requests.
     pub fn shut(&self) -> usize {
-        let shut = |state: &&TargetState| state.target.ready && state.lane == Lane::Shut;
-        self.states.iter().filter(shut).count()
+        let is_shut = |state: &&TargetState| state.target.ready && state.lane == Lane::Shut;
+        self.states.iter().filter(is_shut).count()
     }
 
-    /// Requests of this process at targets of a pool that have another version.
+    /// Returns the number of this process's requests at targets of a pool that have another version.
     pub fn running_besides(&self, pool: &str, version: &Version) -> u32 {
-        let others = self.pool(pool).filter(|state| state.target.version != *version);
+        let others = self.pool_targets(pool).filter(|state| state.target.version != *version);
         others.map(|state| state.own).sum()
     }
 
-    /// How the targets of a pool are reached.
+    /// Returns whether targets of a pool are reached by agents, by rows, or both.
     pub fn ways(&self, now: Instant, pool: &str) -> Ways {
-        self.pool(pool).fold(Ways::default(), |ways, state| Ways {
+        self.pool_targets(pool).fold(Ways::default(), |ways, state| Ways {
             agents: ways.agents || state.agent.is_some(),
-            rows: ways.rows || (state.is_up(now) && !state.is_reserved(now)),
+            rows: ways.rows || (state.is_up(now) && !state.uses_agent(now)),
         })
     }
 
-    /// Whether the target of a slot that was taken still takes requests.
+    /// Reports whether the target of a slot still accepts requests and hasn't restarted.
     pub fn is_open(&self, now: Instant, slot: &Slot) -> bool {
         let state = self.state(&slot.target);
         let state = state.filter(|state| state.target.incarnation == slot.incarnation);
         state.is_some_and(|state| state.is_up(now))
     }
 
-    /// Gives a slot back.
+    /// Releases a slot. Does nothing if the target has restarted since.
     pub fn release(&mut self, slot: &Slot) {
-        if let Some(state) = self.current(&slot.target, slot.incarnation) {
+        if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
             state.own = state.own.saturating_sub(1);
-            state.unread = (state.unread - slot.unread).max(0.0);
+            state.own_prefill_tokens =
+                (state.own_prefill_tokens - slot.pending_prefill_tokens).max(0.0);
         }
     }
 
-    /// Learns from the time to a first event: the prompt was read.
+    /// Records the time to the first event of an answer: the prompt has been read, and the target is
+    /// reachable.
     pub fn learn(&mut self, slot: &mut Slot, first: Duration) {
-        let Some(state) = self.current(&slot.target, slot.incarnation) else {
+        let Some(state) = self.state_mut(&slot.target, slot.incarnation) else {
             return;
         };
-        state.unread = (state.unread - slot.unread).max(0.0);
-        slot.unread = 0.0;
-        let seen = first.as_secs_f64() * 1_000.0 / slot.load;
-        state.first = Some(state.first.map_or(seen, |known| known + NEWEST * (seen - known)));
-        state.down_for = Duration::ZERO;
-    }
-
-    /// Learns whether a target failed a request.
+        state.own_prefill_tokens =
+            (state.own_prefill_tokens - slot.pending_prefill_tokens).max(0.0);
+        slot.pending_prefill_tokens = 0.0;
+        let observed = first.as_secs_f64() * 1_000.0 / slot.prefill_tokens;
+        state.first_event_ms_per_token = Some(
+            state
+                .first_event_ms_per_token
+                .map_or(observed, |known| known + EWMA_WEIGHT * (observed - known)),
+        );
+        state.unreachable_backoff = Duration::ZERO;
+    }
+
+    /// Records in a target's failure rate whether a request failed there.
     pub fn judge(&mut self, slot: &Slot, failed: bool) {
-        if let Some(state) = self.current(&slot.target, slot.incarnation) {
-            let seen = if failed { 1.0 } else { 0.0 };
-            state.failing += NEWEST * (seen - state.failing);
+        if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
+            let observed = if failed { 1.0 } else { 0.0 };
+            state.failure_rate += EWMA_WEIGHT * (observed - state.failure_rate);
         }
     }
 
-    /// Leaves a target that takes no connection alone.
+    /// Starts or doubles the backoff from a target that accepts no connection or is silent.
     pub fn mark_down(&mut self, now: Instant, name: &TargetName, incarnation: Incarnation) {
-        if let Some(state) = self.current(name, incarnation) {
-            state.down_for = (state.down_for * 2).clamp(DOWN_MIN, DOWN_MAX);
-            state.leave_alone(now, state.down_for);
+        if let Some(state) = self.state_mut(name, incarnation) {
+            state.unreachable_backoff = (state.unreachable_backoff * 2)
+                .clamp(MIN_UNREACHABLE_BACKOFF, MAX_UNREACHABLE_BACKOFF);
+            state.back_off(now, state.unreachable_backoff);
         }
     }
 
-    /// Leaves a target that has no room alone.
+    /// Starts a short backoff from a target that rejected a request.
     pub fn mark_full(&mut self, now: Instant, slot: &Slot) {
-        if let Some(state) = self.current(&slot.target, slot.incarnation) {
-            state.leave_alone(now, FULL);
+        if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
+            state.back_off(now, REJECTION_BACKOFF);
         }
     }
 
-    /// Takes a target out whose address has another now.
+    /// Sends no more requests to a target whose address belongs to another target now.
     pub fn mark_gone(&mut self, slot: &Slot) {
-        if let Some(state) = self.current(&slot.target, slot.incarnation) {
+        if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
             state.target.ready = false;
         }
     }
 
-    /// When a target may be asked again, if one is left alone.
+    /// Returns the next time at which a backoff ends or a rate limit allows a request; `None` if there is
+    /// none.
     pub fn next_up(&self, now: Instant) -> Option<Instant> {
-        let due = |state: &TargetState| state.pacer.map(|pacer| pacer.next());
-        let times =
-            self.states.iter().flat_map(|state| [state.down_until, state.away_until, due(state)]);
+        let paced_at = |state: &TargetState| state.pacer.map(|pacer| pacer.next());
+        let times = self
+            .states
+            .iter()
+            .flat_map(|state| [state.backoff_until, state.agent_backoff_until, paced_at(state)]);
         times.flatten().filter(|&at| at > now).min()
     }
 
-    /// A target, unless it started again since.
-    fn current(&mut self, name: &TargetName, incarnation: Incarnation) -> Option<&mut TargetState> {
-        let state = self.states.get_mut(*self.places.get(name)?)?;
+    /// Returns the state of a target; `None` if the target is unknown or has another incarnation.
+    fn state_mut(
+        &mut self,
+        name: &TargetName,
+        incarnation: Incarnation,
+    ) -> Option<&mut TargetState> {
+        let state = self.states.get_mut(*self.indexes.get(name)?)?;
         (state.target.incarnation == incarnation).then_some(state)
     }
 
-    /// The targets of a pool.
-    fn pool(&self, pool: &str) -> impl Iterator<Item = &TargetState> {
-        let places = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
-        places.iter().filter_map(|&place| self.states.get(place))
+    /// Returns the targets of a pool.
+    fn pool_targets(&self, pool: &str) -> impl Iterator<Item = &TargetState> {
+        let indexes = self.pools.get(pool).map(Vec::as_slice).unwrap_or_default();
+        indexes.iter().filter_map(|&index| self.states.get(index))
     }
 
-    /// Time for a token at the fastest targets that a request may go to, in ms: a low quantile, since the
-    /// least of many noisy figures is lower the more there are.
-    fn fastest(&self, now: Instant, demand: &Demand<'_>) -> f64 {
-        let open = self.pool(demand.pool);
-        let open = open.filter(|state| state.lane == demand.lane && state.is_up(now));
-        let mut paces: Vec<f64> = open.filter_map(|state| state.pace).collect();
-        let place = (paces.len() as f64 * FASTEST_PART) as usize;
-        paces.sort_unstable_by(f64::total_cmp);
-        paces.get(place).copied().unwrap_or(f64::INFINITY)
+    /// Returns the time per token, in ms, of the fastest targets that a request may go to; infinite if none
+    /// is known. It is a low quantile rather than the minimum, since the minimum of noisy measurements falls
+    /// as their number grows.
+    fn fastest_ms_per_token(&self, now: Instant, demand: &Demand<'_>) -> f64 {
+        let candidates = self.pool_targets(demand.pool);
+        let candidates = candidates.filter(|state| state.lane == demand.lane && state.is_up(now));
+        let mut ms_per_token: Vec<f64> =
+            candidates.filter_map(|state| state.ms_per_token).collect();
+        let index = (ms_per_token.len() as f64 * FASTEST_QUANTILE) as usize;
+        ms_per_token.sort_unstable_by(f64::total_cmp);
+        ms_per_token.get(index).copied().unwrap_or(f64::INFINITY)
     }
 
-    /// The mean of what is known of a pool's targets, in ms a token.
-    fn usual(&self, pool: &str) -> f64 {
-        let known = self.pool(pool).filter_map(|state| state.first);
+    /// Returns the mean time to the first event over a pool's targets, in ms per prompt token.
+    fn mean_first_event_ms_per_token(&self, pool: &str) -> f64 {
+        let known = self.pool_targets(pool).filter_map(|state| state.first_event_ms_per_token);
         let (sum, count) = known.fold((0.0, 0.0), |(sum, count), first| (sum + first, count + 1.0));
-        if count > 0.0 { sum / count } else { FIRST_GUESS }
+        if count > 0.0 { sum / count } else { DEFAULT_FIRST_EVENT_MS_PER_TOKEN }
     }
 }
--- a/components/scheduler/src/direct/capacity/demand.rs
+++ b/components/scheduler/src/direct/capacity/demand.rs
@@ -1,4 +1,4 @@
-//! What a request asks of targets, and the slot that it gets.
+//! The requirements of a request on its target, and the slot that the request takes.
 
 use std::{cmp::Ordering, net::SocketAddr, time::Duration};
 
@@ -6,74 +6,77 @@
 
 use super::{Incarnation, Lane, TargetState};
 
-/// A slot that a request took.
+/// A slot of a target that a request has taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slot {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its start: the slot is gone with it.
+    /// Incarnation of the target; a restart of the target ends the slot.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address at which the target accepts requests.
     pub address: SocketAddr,
-    /// Tokens of its prompt, until the answer begins.
-    pub unread: f64,
-    /// Tokens that were to be read before the first event.
-    pub(super) load: f64,
-    /// Time to the first event that was expected.
+    /// Prompt tokens of the request that the target has still to read; 0 once the answer has begun.
+    pub pending_prefill_tokens: f64,
+    /// Prompt tokens, those of earlier requests and the fixed cost included, that the target had to read
+    /// before the first event when the slot was taken.
+    pub(super) prefill_tokens: f64,
+    /// Expected time from dispatch to the first event of the answer.
     pub first: Duration,
-    /// Whether the target has a version that is on trial.
+    /// Whether the target runs the version of a rollout in progress.
     pub ordered: bool,
 }
 
 impl Slot {
-    /// The part of a time to the first event that fell to each token which was read for it.
+    /// Returns the time to the first event divided by the prompt tokens read before it.
     pub fn each_token(&self, first: Duration) -> Duration {
-        first.div_f64(self.load.max(1.0))
+        first.div_f64(self.prefill_tokens.max(1.0))
     }
 }
 
-/// What a request asks of its target.
+/// The requirements of a request on its target.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// Where it goes.
+    /// Pool whose targets may answer the request.
     pub pool: &'a PoolName,
-    /// Where this process is.
+    /// Availability zone of this process.
     pub zone: &'a ZoneName,
-    /// Spread evenly over requests.
+    /// Random number of the request, uniformly distributed over requests.
     pub draw: u64,
-    /// Tokens of its prompt.
+    /// Prompt tokens of the request; 0 if unknown.
     pub tokens: f64,
-    /// Tokens that its answer is expected to have; 0 where that isn't known.
+    /// Expected tokens of the answer; 0 if unknown.
     pub output: f64,
-    /// Time that is left for the answer.
+    /// Time until the deadline of the answer.
     pub left: Duration,
-    /// Targets that may have run it: it goes to none of them again.
+    /// Targets that may have run the request; it isn't sent to them again.
     pub tried: &'a [TargetName],
-    /// Targets that rejected it: it goes to any other first.
+    /// Targets that rejected the request; any other target is preferred.
     pub rejected: &'a [TargetName],
-    /// Which targets it may go to.
+    /// Lane of the targets that the request may go to.
     pub lane: Lane,
-    /// Whether it is of the pool's lowest tier, whose requests hold their slots for longest, and so
-    /// leaves slots to the others.
+    /// Whether the request belongs to the pool's lowest tier and that tier holds its slots the longest, so
+    /// that a part of each target's slots isn't available to the request.
     pub lowest: bool,
 }
 
 impl Demand<'_> {
-    pub(super) fn is_rejected(&self, state: &TargetState) -> bool {
+    /// Reports whether the target has rejected the request.
+    pub(super) fn was_rejected_by(&self, state: &TargetState) -> bool {
         self.rejected.contains(&state.target.name)
     }
 }
 
-/// Compares targets by whether they rejected a request, then by their cost for it.
-pub(super) fn cheaper(a: (bool, f64), b: (bool, f64)) -> Ordering {
+/// Compares two targets for a request, each given as whether the target rejected the request and its cost.
+/// Targets that didn't reject the request come first, then those of lower cost.
+pub(super) fn compare_costs(a: (bool, f64), b: (bool, f64)) -> Ordering {
     a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
 }
 
-/// How the targets of a pool are reached.
+/// How requests reach the targets of a pool; both may hold.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Ways {
-    /// Whether some have agents, reached or not.
+    /// Whether any target has an agent, reachable or not.
     pub agents: bool,
-    /// Whether some take requests by what entry processes tell each other.
+    /// Whether any target accepts requests without an agent, by the rows that entry processes exchange.
     pub rows: bool,
 }
--- a/components/scheduler/src/direct/capacity/limits.rs
+++ b/components/scheduler/src/direct/capacity/limits.rs
@@ -1,7 +1,8 @@
-//! Rate limits that targets name.
+//! Rate limits that targets name in their answers.
 //!
-//! A target's agent spaces its grants by the limit, since it sees what all processes send. Where no agent
-//! is reached, one process, which all of them agree on, sends what the limit allows.
+//! The agent of a target spaces its grants by the limit, since it sees the requests of all entry processes.
+//! While no agent is reachable, entry processes take turns: one at a time, which all of them determine alike,
+//! sends as many requests as the limit allows.
 
 use std::time::{Duration, Instant};
 
@@ -11,71 +12,76 @@
 
 use super::{super::event::Incarnation, Capacity, Place, Slot, TargetState};
 
-/// Part of a limit that a process sends without its agent: others may still reach that, which then grants
-/// the whole.
-const UNREACHED_PART: u32 = 2;
-/// Time without an answer after which it is another process's turn: one without requests would else keep
-/// the target from all.
-const TURN: Duration = Duration::from_secs(5);
+/// Factor on the interval between requests that are sent without the target's agent, which leaves them half
+/// of the limit. Other processes may still reach the agent, which then grants the whole limit.
+const UNREACHABLE_AGENT_INTERVAL_FACTOR: u32 = 2;
+/// Time without new information on the limit after which the next process may send to the target. Without
+/// turns, a process that has no requests would keep the target from all others.
+const TURN_DURATION: Duration = Duration::from_secs(5);
 
 impl TargetState {
-    /// Requests a second that it was last heard to take, and the age of that; `None` where it names no
-    /// limit.
+    /// Returns the target's rate limit in requests per second and the age of that information; `None` if
+    /// the target isn't limited.
     pub fn limit(&self, now: Instant) -> Option<(f64, Duration)> {
         let News { interval, at } = self.limit?;
         Some((rate::per_second(interval?), now.saturating_duration_since(at)))
     }
 
-    /// Whether it names a limit.
+    /// Reports whether a rate limit applies to the target.
     pub fn is_limited(&self) -> bool {
         self.interval().is_some()
     }
 
-    /// What was last heard of its limit, for others.
-    pub fn last_limit(&self, now: Instant) -> Option<Limit> {
+    /// Returns the newest information on the target's limit, as it is sent to agents and entry processes;
+    /// `None` if the target never named a limit.
+    pub fn limit_report(&self, now: Instant) -> Option<Limit> {
         let News { interval, at } = self.limit?;
         Some(Limit { interval, age: now.saturating_duration_since(at) })
     }
 
+    /// Returns the mean interval between two requests by the target's limit; `None` if it isn't limited.
     fn interval(&self) -> Option<Duration> {
         self.limit?.interval
     }
 
-    /// Whether its limit lets a request through that no agent granted.
-    pub(super) fn is_due(&self, now: Instant, place: Place) -> bool {
+    /// Reports whether the target's limit allows this process to send a request now without an agent's grant.
+    pub(super) fn limit_allows(&self, now: Instant, place: Place) -> bool {
         let (Some(pacer), Some(news)) = (self.pacer, self.limit) else {
             return true;
         };
-        let turns = now.saturating_duration_since(news.at).as_secs() / TURN.as_secs();
-        let position = u64::from(self.position(place)) + turns;
-        position.is_multiple_of(u64::from(place.among)) && pacer.next() <= now
+        let turns = now.saturating_duration_since(news.at).as_secs() / TURN_DURATION.as_secs();
+        let rotated = u64::from(self.rotated_index(place)) + turns;
+        rotated.is_multiple_of(u64::from(place.among)) && pacer.next() <= now
     }
 
-    /// Time, in ms, until its agent may admit a request, as far as is known.
-    pub(super) fn limit_wait(&self, now: Instant) -> f64 {
-        let next = self.next_grant.filter(|_| self.is_limited());
+    /// Returns the estimated time, in ms, until the agent admits a request; 0 if the target isn't limited.
+    pub(super) fn limit_wait_ms(&self, now: Instant) -> f64 {
+        let next = self.expected_grant.filter(|_| self.is_limited());
         next.map_or(0.0, |next| next.saturating_duration_since(now).as_secs_f64() * 1_000.0)
     }
 
-    /// Expects that its agent grants a request now, and has others that wait.
-    pub(super) fn expect_grant(&mut self, now: Instant, waiting: u32) {
-        self.next_grant = self.interval().map(|interval| now + interval * (waiting + 1));
+    /// Estimates the agent's next grant after one at `now`, with `waiting` requests queued at the agent.
+    pub(super) fn expect_next_grant(&mut self, now: Instant, waiting: u32) {
+        self.expected_grant = self.interval().map(|interval| now + interval * (waiting + 1));
     }
 
-    /// Assumes that its limit is used up: what others sent isn't known.
+    /// Starts to space requests anew as if the limit were used up, since the requests that other processes
+    /// sent are unknown.
     pub(super) fn reset_pacer(&mut self, now: Instant) {
-        self.pacer = self.paced().map(|interval| Pacer::open(now, interval));
+        self.pacer = self.interval_without_agent().map(|interval| Pacer::open(now, interval));
     }
 
-    /// Time between two requests that no agent grants.
-    fn paced(&self) -> Option<Duration> {
-        let part = if self.agent.is_some() { UNREACHED_PART } else { 1 };
-        Some(self.interval()? * part)
+    /// Returns the interval between two requests without an agent's grant; `None` if the target isn't
+    /// limited.
+    fn interval_without_agent(&self) -> Option<Duration> {
+        let factor = if self.agent.is_some() { UNREACHABLE_AGENT_INTERVAL_FACTOR } else { 1 };
+        Some(self.interval()? * factor)
     }
 
-    fn hear_limit(&mut self, now: Instant, news: News) {
+    /// Replaces the information on the limit and adapts the spacing of requests without an agent's grant.
+    fn record_limit(&mut self, now: Instant, news: News) {
         self.limit = Some(news);
-        match (self.paced(), &mut self.pacer) {
+        match (self.interval_without_agent(), &mut self.pacer) {
             (Some(interval), Some(pacer)) => pacer.set(interval),
             _ => self.reset_pacer(now),
         }
@@ -83,50 +89,51 @@
 }
 
 impl Capacity {
-    /// Learns what was heard of a target's limit; gives whether it is another than before.
-    pub fn hear_limit(
+    /// Records information on a target's limit unless newer information is known. Returns whether the limit
+    /// changed.
+    pub fn record_limit(
         &mut self,
         now: Instant,
         name: &TargetName,
         incarnation: Incarnation,
         news: News,
     ) -> bool {
-        let Some(state) = self.current(name, incarnation) else {
+        let Some(state) = self.state_mut(name, incarnation) else {
             return false;
         };
         if state.limit.is_some_and(|known| known.at >= news.at) {
             return false;
         }
         let before = state.interval();
-        state.hear_limit(now, news);
+        state.record_limit(now, news);
         before != news.interval
     }
 
-    /// Learns that a request which was dispatched then was answered without the name of a limit; gives
-    /// whether that shows that one is gone.
-    pub fn lift_limit(&mut self, now: Instant, slot: &Slot, dispatched: Instant) -> bool {
+    /// Records that the answer to a request dispatched at `dispatched` named no limit. Returns whether this
+    /// lifted a limit: the request must have been dispatched long enough after the limit was last named.
+    pub fn clear_limit(&mut self, now: Instant, slot: &Slot, dispatched: Instant) -> bool {
         let state = self.state(&slot.target);
         let known = state.and_then(|state| state.limit);
         let news = News { interval: None, at: now };
         known.is_some_and(|known| known.is_over(dispatched))
-            && self.hear_limit(now, &slot.target, slot.incarnation, news)
+            && self.record_limit(now, &slot.target, slot.incarnation, news)
     }
 
-    /// Counts a reservation at a target: its agent may admit the next one later.
-    pub fn queue_at(&mut self, now: Instant, name: &TargetName) {
-        let state = self.places.get(name).and_then(|&place| self.states.get_mut(place));
+    /// Counts a reservation at a rate-limited target, which delays the estimate of its agent's next grant.
+    pub fn count_reservation(&mut self, now: Instant, name: &TargetName) {
+        let state = self.indexes.get(name).and_then(|&index| self.states.get_mut(index));
         if let Some(state) = state {
-            let next = state.next_grant.map_or(now, |next| next.max(now));
-            state.next_grant = state.interval().map(|interval| next + interval);
+            let next = state.expected_grant.map_or(now, |next| next.max(now));
+            state.expected_grant = state.interval().map(|interval| next + interval);
         }
     }
 
-    /// What was last heard of the limit of each target that ever named one.
+    /// Returns the newest information on the limit of each target that ever named one.
     pub fn limits(&self, now: Instant) -> impl Iterator<Item = (&TargetState, Limit)> {
-        self.states.iter().filter_map(move |state| Some((state, state.last_limit(now)?)))
+        self.states.iter().filter_map(move |state| Some((state, state.limit_report(now)?)))
     }
 
-    /// Targets that name a limit.
+    /// Returns the number of targets that are rate-limited.
     pub fn limited(&self) -> usize {
         self.states.iter().filter(|state| state.is_limited()).count()
     }
--- a/components/scheduler/src/direct/holds.rs
+++ b/components/scheduler/src/direct/holds.rs
@@ -1,27 +1,29 @@
-//! How long the requests of each tier hold their slots.
+//! Mean times for which the requests of each tier hold their slots.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use model::id::PoolName;
 
-/// Weight of the newest observation in a moving average.
-const NEWEST: f64 = 0.05;
+/// Weight of the newest observation in the exponential moving averages.
+const EWMA_WEIGHT: f64 = 0.05;
 
-/// Means in seconds, by pool and rank.
+/// Mean times for which requests hold their slots, by pool and tier.
 #[derive(Clone, Debug, Default)]
 pub struct Holds {
+    /// Moving averages, in seconds, by pool and rank of the tier.
     means: BTreeMap<PoolName, BTreeMap<u32, f64>>,
 }
 
 impl Holds {
-    /// Learns from a request that ended whole.
+    /// Records the time for which a request held its slot until its whole answer was sent.
     pub fn learn(&mut self, pool: &PoolName, rank: u32, held: Duration) {
-        let seen = held.as_secs_f64();
-        let mean = self.means.entry(pool.clone()).or_default().entry(rank).or_insert(seen);
-        *mean += NEWEST * (seen - *mean);
+        let observed = held.as_secs_f64();
+        let mean = self.means.entry(pool.clone()).or_default().entry(rank).or_insert(observed);
+        *mean += EWMA_WEIGHT * (observed - *mean);
     }
 
-    /// Whether the requests of a rank hold their slots for longer than those of any other.
+    /// Reports whether the requests of a rank hold their slots longer on average than those of any other
+    /// rank. Returns `false` until another rank of the pool is known.
     pub fn is_longest(&self, pool: &PoolName, rank: u32) -> bool {
         let Some(means) = self.means.get(pool) else {
             return false;
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -1,4 +1,4 @@
-//! What is heard of the rate limits that targets name.
+//! Updates of the targets' rate limits from answers and from the rows of other entry processes.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 };
 
 impl State {
-    /// An answer names its target's rate limit.
+    /// Handles an answer that names its target's rate limit, in requests per second.
     pub(super) fn limited(
         &mut self,
         now: Instant,
@@ -26,13 +26,13 @@
         running.limited = true;
         let (name, incarnation) = (running.slot.target.clone(), running.slot.incarnation);
         let news = News { interval: Some(rate::interval(per_second)), at: now };
-        if self.capacity.hear_limit(now, &name, incarnation, news) {
+        if self.capacity.record_limit(now, &name, incarnation, news) {
             effects
                 .push(Effect::Note(Note::Limited { target: name, per_second: Some(per_second) }));
         }
     }
 
-    /// Learns what another process heard of limits before it made a row that is as old as given.
+    /// Records the limits in another process's row, which was made `age` ago.
     pub(super) fn hear_limits(
         &mut self,
         now: Instant,
@@ -43,14 +43,14 @@
         for Limited { target, incarnation, limit } in limits {
             let at = now.checked_sub(age + limit.age).unwrap_or(now);
             let news = News { interval: limit.interval, at };
-            if self.capacity.hear_limit(now, target, *incarnation, news) {
+            if self.capacity.record_limit(now, target, *incarnation, news) {
                 let per_second = limit.interval.map(rate::per_second);
                 effects.push(Effect::Note(Note::Limited { target: target.clone(), per_second }));
             }
         }
     }
 
-    /// The answer to a request that was dispatched then names no limit of its target.
+    /// Handles an answer that names no rate limit, to a request that was dispatched at `dispatched`.
     pub(super) fn unlimited(
         &mut self,
         now: Instant,
@@ -58,7 +58,7 @@
         dispatched: Instant,
         effects: &mut Vec<Effect>,
     ) {
-        if self.capacity.lift_limit(now, slot, dispatched) {
+        if self.capacity.clear_limit(now, slot, dispatched) {
             let target = slot.target.clone();
             effects.push(Effect::Note(Note::Limited { target, per_second: None }));
         }
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -1,9 +1,9 @@
-//! Reservations: requests wait at the agents of several targets at once, and go to the one that
-//! first has room.
+//! Reservations: a request waits at the agents of several targets at once, and goes to the target whose
+//! agent grants it a slot first.
 //!
-//! An agent counts what all entry processes have at its target, and grants room to the highest tier
-//! of them first. With many entries no other place knows either: what they tell each other is older
-//! than the time for which a slot is held.
+//! An agent counts the requests of all entry processes at its target, and grants slots to the highest tier
+//! first. With many entry processes only the agent has this information in time: the rows that entry
+//! processes exchange are then older than the time for which a slot is held.
 
 use std::time::{Duration, Instant};
 
@@ -17,51 +17,56 @@
     queue,
 };
 
-/// Agents at which a request is reserved when it begins to wait.
-const FIRST: usize = 2;
-/// Most agents at which it is reserved at a time.
-const MOST: usize = 6;
-/// Part of the time to its promotion by which a request counts as newer than it is where it ends in time at
-/// hardly any target; it falls to none for one that may go anywhere.
-const BOOST: f64 = 2.0 / 3.0;
-/// Time until it is reserved at one more; doubles with each.
-const STEP: Duration = Duration::from_millis(40);
-/// Highest value of an account's rank in the first place of a packed rank.
-const FIRST_MAX: u32 = 3;
-/// Highest value of each further part of a packed rank.
-const PART_MAX: u32 = 7;
+/// Number of reservations that a request makes when it begins to wait.
+const INITIAL_RESERVATIONS: usize = 2;
+/// Maximum number of reservations that a request has at a time.
+const MAX_RESERVATIONS: usize = 6;
+/// Boost of a request whose answer ends in time at no target, as a part of the time from its arrival to its
+/// promotion. Agents that grant the newest request of a tier first treat the request as newer by the boost.
+/// It falls linearly to zero for a request whose answer ends in time at all targets.
+const MAX_BOOST_RATIO: f64 = 2.0 / 3.0;
+/// Delay before a request without reservations makes another one; doubles with each reservation that it has.
+const BASE_RESERVATION_DELAY: Duration = Duration::from_millis(40);
+/// Highest value of the first part of a packed rank, the account's rank; it has 2 bits.
+const MAX_PACKED_ACCOUNT_RANK: u32 = 3;
+/// Highest value of each further part of a packed rank; they have 3 bits each.
+const MAX_PACKED_PART: u32 = 7;
 
-/// The order of a pool's queue as one number, in which agents compare requests of all processes.
-/// Ranks beyond what the number holds count alike.
-fn pack(order: &Order) -> Rank {
+/// Returns the rank of a request in its pool's queue as one number, by which agents compare the requests of
+/// all processes. Ranks above the highest value of their part are treated as that value.
+fn pack_rank(order: &Order) -> Rank {
     let [first, tier, account] = order.rank;
-    let packed = (first.min(FIRST_MAX) << 6) | (tier.min(PART_MAX) << 3) | account.min(PART_MAX);
+    let packed = (first.min(MAX_PACKED_ACCOUNT_RANK) << 6)
+        | (tier.min(MAX_PACKED_PART) << 3)
+        | account.min(MAX_PACKED_PART);
     packed.try_into().unwrap_or(Rank::MAX)
 }
 
 impl Pending {
-    /// Whether it should be reserved at another agent.
-    fn wants_another(&self, now: Instant) -> bool {
-        let reserved = self.reserved.len();
-        reserved < FIRST || (reserved < MOST && self.next_reservation <= now)
+    /// Reports whether the request should make another reservation now.
+    fn needs_another_reservation(&self, now: Instant) -> bool {
+        let count = self.reserved.len();
+        count < INITIAL_RESERVATIONS || (count < MAX_RESERVATIONS && self.next_reservation <= now)
     }
 
-    /// Gives up all its reservations.
+    /// Withdraws all reservations of the request.
     pub(super) fn withdraw(&mut self, effects: &mut Vec<Effect>) {
         let ticket = self.request.ticket;
-        let given_up = self.reserved.drain(..).map(|reserved| reserved.number);
-        effects.extend(given_up.map(|number| Effect::Withdraw { ticket, number }));
+        let withdrawn = self.reserved.drain(..).map(|reserved| reserved.number);
+        effects.extend(withdrawn.map(|number| Effect::Withdraw { ticket, number }));
     }
 
-    /// The reservation of that number, taken out.
-    fn take_reserved(&mut self, number: u32) -> Option<Reserved> {
-        let place = self.reserved.iter().position(|reserved| reserved.number == number)?;
-        Some(self.reserved.swap_remove(place))
+    /// Removes the reservation with this number and returns it; `None` if the request has no such
+    /// reservation.
+    fn take_reservation(&mut self, number: u32) -> Option<Reserved> {
+        let index = self.reserved.iter().position(|reserved| reserved.number == number)?;
+        Some(self.reserved.swap_remove(index))
     }
 }
 
-/// Reserves a request at agents of its pool, and gives up what it has at targets that take no more
-/// requests. Gives when it is to be reserved at one more.
+/// Makes the reservations of a waiting request that are due, and withdraws those that are no longer valid,
+/// such as those at targets that accept no more requests. Returns when the next reservation is due; `None` if
+/// the request has the maximum number of reservations.
 pub(super) fn seek(
     capacity: &mut Capacity,
     now: Instant,
@@ -70,29 +75,32 @@
     effects: &mut Vec<Effect>,
 ) -> Option<Instant> {
     let ticket = pending.request.ticket;
-    let (kept, lost) =
-        pending.reserved.drain(..).partition(|reserved| capacity.keeps(now, reserved));
-    pending.reserved = kept;
+    let (valid, invalid) = pending
+        .reserved
+        .drain(..)
+        .partition(|reserved| capacity.is_reservation_valid(now, reserved));
+    pending.reserved = valid;
     effects.extend(
-        lost.iter().map(|Reserved { number, .. }| Effect::Withdraw { ticket, number: *number }),
+        invalid.iter().map(|Reserved { number, .. }| Effect::Withdraw { ticket, number: *number }),
     );
-    while pending.wants_another(now) {
-        let reserved = u32::try_from(pending.reserved.len()).unwrap_or(u32::MAX);
-        pending.next_reservation = now + STEP * 2_u32.saturating_pow(reserved);
-        let chosen = capacity.choose(now, demand, &pending.reserved);
+    while pending.needs_another_reservation(now) {
+        let count = u32::try_from(pending.reserved.len()).unwrap_or(u32::MAX);
+        pending.next_reservation = now + BASE_RESERVATION_DELAY * 2_u32.saturating_pow(count);
+        let chosen = capacity.choose_target(now, demand, &pending.reserved);
         let Some((state, agent)) = chosen.and_then(|state| Some((state, state.agent?))) else {
             break;
         };
         let (target, limited) = (state.target.clone(), state.is_limited());
-        let (slots, limit) = (state.admits(), state.last_limit(now));
-        // The least flexible of a tier go first: the others have their turn elsewhere.
-        let closed = capacity.fits(now, demand).closed();
-        let boost = (pending.promote - pending.arrived).mul_f64(BOOST * closed);
+        let (slots, limit) = (state.admission_slots(), state.limit_report(now));
+        // Of the requests of a tier, those that fit the fewest targets go first: the others can be served by
+        // other targets.
+        let closed_ratio = capacity.fits(now, demand).closed();
+        let boost = (pending.promote - pending.arrived).mul_f64(MAX_BOOST_RATIO * closed_ratio);
         pending.reservations += 1;
         let number = pending.reservations;
         let (name, incarnation) = (target.name.clone(), target.incarnation);
         pending.reserved.push(Reserved { number, target: name, incarnation, agent, limited });
-        capacity.queue_at(now, &target.name);
+        capacity.count_reservation(now, &target.name);
         effects.push(Effect::Reserve(Reservation {
             ticket,
             number,
@@ -102,17 +110,18 @@
             slots,
             beside: target.agent == Some(agent),
             limit,
-            rank: pack(&pending.order()),
+            rank: pack_rank(&pending.order()),
             wait: pending.give_up.saturating_duration_since(now),
             boost,
             tokens: pending.tokens(),
         }));
     }
-    (pending.reserved.len() < MOST).then_some(pending.next_reservation)
+    (pending.reserved.len() < MAX_RESERVATIONS).then_some(pending.next_reservation)
 }
 
 impl State {
-    /// An agent has room: the request goes there, unless it went elsewhere.
+    /// Handles a grant of an agent: dispatches the request to the agent's target. Withdraws the reservation
+    /// if the request no longer has it or the target is no longer suitable.
     pub(super) fn granted(
         &mut self,
         now: Instant,
@@ -136,6 +145,8 @@
         }
     }
 
+    /// Takes the slot that an agent granted to a reservation, and records the load that the agent reported.
+    /// Returns `None` if the request no longer has the reservation or the target is no longer suitable.
     fn granted_slot(
         &mut self,
         now: Instant,
@@ -144,36 +155,37 @@
         load: Load,
     ) -> Option<Slot> {
         let pending = self.requests.get_mut(&ticket)?;
-        let reserved = pending.take_reserved(number)?;
-        self.capacity.hear_load(now, &reserved, load);
+        let reserved = pending.take_reservation(number)?;
+        self.capacity.record_agent_load(now, &reserved, load);
         let lane = self.rollouts.lane(now, &pending.pool, pending.chosen == Some(true));
-        let seen = (&*pending.tried, &*pending.rejected);
-        let demand = pending.demand(now, &pending.pool, &self.settings.zone, seen);
-        self.capacity.occupy(now, &reserved, &Demand { lane, ..demand })
+        let avoided = (&*pending.tried, &*pending.rejected);
+        let demand = pending.demand(now, &pending.pool, &self.settings.zone, avoided);
+        self.capacity.take_granted_slot(now, &reserved, &Demand { lane, ..demand })
     }
 
-    /// An agent gives no room: its target is left alone for a while or, where only the agent is away,
-    /// used by what the other processes tell.
+    /// Handles a reservation that ended without a grant. If the agent can't reach its target, starts a
+    /// backoff from the target; if only the agent is unreachable, from the agent, and the target is meanwhile
+    /// shared by the rows that entry processes exchange.
     pub(super) fn denied(&mut self, now: Instant, ticket: Ticket, number: u32, lapse: Lapse) {
         let pending = self.requests.get_mut(&ticket);
-        let Some(reserved) = pending.and_then(|pending| pending.take_reserved(number)) else {
+        let Some(reserved) = pending.and_then(|pending| pending.take_reservation(number)) else {
             return;
         };
         match lapse {
-            Lapse::Away => self.capacity.mark_away(now, &reserved),
-            Lapse::Unreached => self.capacity.mark_denied(now, &reserved),
+            Lapse::Away => self.capacity.mark_agent_unreachable(now, &reserved),
+            Lapse::Unreached => self.capacity.mark_unreachable_by_agent(now, &reserved),
             Lapse::Late => {}
         }
     }
 
-    /// Gives a slot back, and the room at its agent.
+    /// Releases the slot of a dispatch that ended and withdraws its reservation at the agent, if any.
     pub(super) fn release(&mut self, ticket: Ticket, running: &Running, effects: &mut Vec<Effect>) {
         self.capacity.release(&running.slot);
         let number = running.reservation;
         effects.extend(number.map(|number| Effect::Withdraw { ticket, number }));
     }
 
-    /// Gives room back that a request didn't use.
+    /// Releases a slot that a request held but didn't use, and withdraws its reservation, if any.
     pub(super) fn release_held(&mut self, ticket: Ticket, held: &Held, effects: &mut Vec<Effect>) {
         self.capacity.release(&held.slot);
         effects.extend(held.reservation.map(|number| Effect::Withdraw { ticket, number }));
--- a/components/scheduler/src/direct/seek.rs
+++ b/components/scheduler/src/direct/seek.rs
@@ -1,5 +1,6 @@
-//! Requests whose target is silent: they wait for room at another, and are answered by whichever comes
-//! first. A silent target may still answer, and is left only once there is somewhere to go.
+//! Requests whose target is silent, that is, has sent nothing of its answer for some time. Such a request
+//! waits for a slot at another target and keeps its dispatch meanwhile, since the silent target may still
+//! answer. The dispatch is cancelled once another target has a slot.
 
 use std::time::Instant;
 
@@ -10,7 +11,8 @@
 };
 
 impl State {
-    /// The target of a request is silent: it waits for room at another where it may be repeated.
+    /// Handles a silent target: starts a backoff from it and lets the request wait for a slot at another
+    /// target. Does nothing more than record `begun` if the request may not be repeated.
     pub(super) fn quiet(&mut self, now: Instant, ticket: Ticket, begun: bool) {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
@@ -20,9 +22,9 @@
         };
         pending.begun |= begun;
         let slot = running.slot.clone();
-        let allowed = pending.may_repeat(pending.tried.len() + 1);
-        let body = pending.request.fingerprint;
-        if !allowed || self.is_quarantined(&body) {
+        let may_repeat = pending.may_repeat(pending.tried.len() + 1);
+        let fingerprint = pending.request.fingerprint;
+        if !may_repeat || self.is_quarantined(&fingerprint) {
             return;
         }
         self.capacity.mark_down(now, &slot.target, slot.incarnation);
@@ -37,7 +39,8 @@
         self.enqueue(ticket);
     }
 
-    /// Lets a request stay with the target that has it; `false` where it doesn't look for another.
+    /// Lets a request stay at its target and stops its search for another one. Returns `false` if there was
+    /// no such search.
     pub(super) fn stay(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
         let Some(Stage::Seeking(_)) = self.requests.get(&ticket).map(|pending| &pending.stage)
         else {
@@ -55,8 +58,8 @@
         true
     }
 
-    /// Gives the room back that a request holds which hasn't left its silent target by the end of its
-    /// time; `false` where it holds none.
+    /// Releases the slot that a request holds at another target if its dispatch to the silent target hasn't
+    /// ended by its deadline. Returns `false` if the request holds no such slot.
     pub(super) fn give_up_move(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return false;
@@ -75,7 +78,7 @@
         true
     }
 
-    /// Gives back what a dispatch took of the budget for repeats that doesn't take place.
+    /// Returns to the retry budget the repeat that was charged for a dispatch that won't happen.
     pub(super) fn refund(&mut self, ticket: Ticket) {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
