--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -1,7 +1,7 @@
-//! Requests of one entry process that wait at the agents of targets.
+//! Requests of one entry process that are reserved at the agents of targets.
 //!
-//! Pattern: many entry processes before many targets. What they tell each other is older than the time
-//! for which a slot is held, so that only a target's agent knows whether it has room.
+//! With many entry processes and many targets, the rows that entry processes exchange are older than the time
+//! for which a request holds its slot. Only a target's agent then knows whether the target has a free slot.
 
 mod direct_support;
 
@@ -18,19 +18,22 @@
 use test_case::test_case;
 
 const MS: Duration = Duration::from_millis(1);
-/// Longer than an agent or a target that was not reached is left alone at first.
-const BACKOFF: Duration = Duration::from_millis(260);
+/// Longer than the first backoff from an unreachable agent or target.
+const FIRST_BACKOFF_PASSED: Duration = Duration::from_millis(260);
 
-fn agents(count: u16) -> Vec<Target> {
+/// Targets that each have an agent.
+fn targets_with_agents(count: u16) -> Vec<Target> {
     let agent = |number| Some(direct_support::address(2_000 + number));
     (0..count).map(|number| Target { agent: agent(number), ..target(number) }).collect()
 }
 
+/// An entry process with one route whose streams can be resumed and one whose requests aren't repeated.
 fn entry(targets: Vec<Target>) -> Process {
     let routes = vec![route("/resume/", Repeat::Resume), route("/never/", Repeat::Never)];
     process(plan(1, routes, Some(limit(100_000.0))), targets)
 }
 
+/// Numbers of the reservations that are withdrawn.
 fn withdrawn(effects: &[Effect]) -> Vec<u32> {
     let withdrawn = effects.iter().filter_map(|effect| match effect {
         Effect::Withdraw { number, .. } => Some(*number),
@@ -48,8 +51,8 @@
 }
 
 #[test]
-fn a_request_goes_to_the_first_agent_that_has_room_and_leaves_the_others() {
-    let mut entry = entry(agents(4));
+fn a_request_goes_to_the_first_target_that_grants_a_slot_and_withdraws_its_other_reservations() {
+    let mut entry = entry(targets_with_agents(4));
 
     let reserved = reservations(&entry.arrive(request(1, "/never/")));
     let effects = grant(&mut entry, 1, 2);
@@ -61,8 +64,8 @@
 }
 
 #[test]
-fn a_request_that_waits_is_reserved_at_more_agents_but_not_at_all() {
-    let mut entry = entry(agents(12));
+fn a_waiting_request_is_reserved_at_more_agents_but_not_at_all_of_them() {
+    let mut entry = entry(targets_with_agents(12));
     let mut reserved = reservations(&entry.arrive(request(1, "/never/"))).len();
 
     for _ in 0..59 {
@@ -72,16 +75,16 @@
     assert!((4..=6).contains(&reserved), "{reserved}");
 }
 
-/// A plain target beside others that have agents, of two slots each.
-fn beside_agents() -> Vec<Target> {
-    let mut targets = agents(6);
+/// A target without an agent in one pool and six targets with agents in another pool, with two slots each.
+fn target_without_agent() -> Vec<Target> {
+    let mut targets = targets_with_agents(6);
     targets.iter_mut().for_each(|target| target.pool = "models".into());
     targets.push(target(9));
     targets
 }
 
-/// Hears of so many other entry processes.
-fn meet(entry: &mut Process, others: u16) {
+/// Lets the entry process receive rows from this many other entry processes.
+fn discover_peers(entry: &mut Process, others: u16) {
     for number in 0..others {
         let mut other = blank(50 + number);
         other.now = entry.now;
@@ -91,26 +94,26 @@
 }
 
 #[test]
-fn many_entries_reserve_a_target_without_an_agent_at_the_same_other_one() {
+fn many_entry_processes_reserve_a_target_without_an_agent_at_the_same_agent() {
     let reserved = |targets: Vec<Target>| {
         let mut entry = entry(targets);
-        meet(&mut entry, 2);
+        discover_peers(&mut entry, 2);
         reservations(&entry.arrive(request(1, "/never/"))).remove(0)
     };
-    let mut reversed = beside_agents();
+    let mut reversed = target_without_agent();
     reversed.reverse();
 
-    let (one, other) = (reserved(beside_agents()), reserved(reversed));
+    let (first, second) = (reserved(target_without_agent()), reserved(reversed));
 
-    assert_eq!((one.target.as_str(), one.beside), ("target-9", false));
-    assert_eq!(one.agent, other.agent);
-    assert!(one.slots > target(9).slots);
+    assert_eq!((first.target.as_str(), first.beside), ("target-9", false));
+    assert_eq!(first.agent, second.agent);
+    assert!(first.slots > target(9).slots);
 }
 
 #[test]
-fn few_entries_share_a_target_without_an_agent() {
-    let mut entry = entry(beside_agents());
-    meet(&mut entry, 1);
+fn few_entry_processes_use_a_target_without_an_agent_without_reservations() {
+    let mut entry = entry(target_without_agent());
+    discover_peers(&mut entry, 1);
 
     let effects = entry.arrive(request(1, "/never/"));
 
@@ -118,16 +121,19 @@
     assert!(reservations(&effects).is_empty());
 }
 
-/// Pattern: few entry processes, each of which has more than a slot of every target: rows are younger than
-/// the time for which a slot is held, and an agent only costs the way to it.
-#[test_case(0, 3 => 2; "a process that knows of no others yet")]
-#[test_case(1, 3 => 0; "two before targets of three slots")]
-#[test_case(2, 3 => 2; "as many as slots")]
-#[test_case(5, 3 => 2; "more than slots")]
-fn agents_are_asked_where_a_process_has_a_slot_or_less(others: u16, slots: u32) -> usize {
-    let targets = agents(4).into_iter().map(|target| Target { slots, ..target });
+/// Guards against needless reservations: with few entry processes, whose part of each target is more than one
+/// slot, rows are newer than the time for which a slot is held, and a reservation only costs a round trip.
+#[test_case(0, 3 => 2; "a process that knows no other process yet")]
+#[test_case(1, 3 => 0; "two processes and targets of three slots")]
+#[test_case(2, 3 => 2; "as many processes as slots")]
+#[test_case(5, 3 => 2; "more processes than slots")]
+fn reservations_are_made_if_a_process_has_at_most_one_slot_of_a_target(
+    others: u16,
+    slots: u32,
+) -> usize {
+    let targets = targets_with_agents(4).into_iter().map(|target| Target { slots, ..target });
     let mut entry = entry(targets.collect());
-    meet(&mut entry, others);
+    discover_peers(&mut entry, others);
 
     let effects = entry.arrive(request(1, "/never/"));
 
@@ -136,16 +142,16 @@
 }
 
 #[test]
-fn an_agent_whose_own_target_leaves_admits_to_no_other() {
-    let mut entry = entry(beside_agents());
-    meet(&mut entry, 2);
+fn an_agent_whose_own_target_leaves_is_replaced_for_targets_without_agents() {
+    let mut entry = entry(target_without_agent());
+    discover_peers(&mut entry, 2);
     let before = reservations(&entry.arrive(request(1, "/never/"))).remove(0);
-    let leaves = |target: Target| Target {
+    let mark_leaving = |target: Target| Target {
         ready: target.ready && target.agent != Some(before.agent),
         ..target
     };
 
-    let effects = entry.list(beside_agents().into_iter().map(leaves).collect());
+    let effects = entry.list(target_without_agent().into_iter().map(mark_leaving).collect());
 
     assert_eq!(withdrawn(&effects), [before.number]);
     let after = reservations(&effects).remove(0);
@@ -154,8 +160,8 @@
 }
 
 #[test]
-fn room_that_comes_too_late_is_given_back() {
-    let mut entry = entry(agents(2));
+fn a_grant_to_a_request_that_is_already_dispatched_is_withdrawn() {
+    let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
 
@@ -166,8 +172,8 @@
 }
 
 #[test]
-fn the_room_is_given_back_when_the_run_ends() {
-    let mut entry = entry(agents(2));
+fn the_reservation_is_withdrawn_when_the_dispatch_ends() {
+    let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
 
@@ -177,8 +183,8 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_reservations_along() {
-    let mut entry = entry(agents(3));
+fn reservations_are_withdrawn_when_the_caller_leaves() {
+    let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/never/"));
 
     let effects = entry.send(Event::Left { ticket: 1, events: 0 });
@@ -187,8 +193,8 @@
 }
 
 #[test]
-fn a_request_that_is_refused_leaves_no_reservation() {
-    let mut entry = entry(agents(2));
+fn reservations_are_withdrawn_when_the_request_is_refused() {
+    let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
 
     let effects = entry.pass(Duration::from_millis(600));
@@ -197,26 +203,29 @@
     assert_eq!(withdrawn(&effects), [1, 2]);
 }
 
-#[test_case(vec![]; "whose target is gone")]
-#[test_case(vec![Target { ready: false, ..agents(1).remove(0) }]; "whose target is leaving")]
-fn a_reservation_is_left(left: Vec<Target>) {
-    let mut entry = entry(agents(1));
+#[test_case(vec![]; "if its target is unlisted")]
+#[test_case(
+    vec![Target { ready: false, ..targets_with_agents(1).remove(0) }];
+    "if its target is leaving"
+)]
+fn a_reservation_is_withdrawn(remaining: Vec<Target>) {
+    let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.list(left);
+    let effects = entry.list(remaining);
 
     assert_eq!(withdrawn(&effects), [1]);
     assert!(starts(&grant(&mut entry, 1, 1)).is_empty());
 }
 
 #[test]
-fn a_target_whose_agent_is_away_is_used_by_what_others_tell_until_that_is_back() {
-    let mut entry = entry(agents(1));
+fn a_target_is_used_without_reservations_until_the_backoff_from_its_agent_ends() {
+    let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
     let at_once = deny(&mut entry, 1, 1, Lapse::Away);
     entry.end(1, Outcome::Done);
-    entry.pass(BACKOFF);
+    entry.pass(FIRST_BACKOFF_PASSED);
     let later = entry.arrive(request(2, "/never/"));
 
     assert_eq!(start(&at_once).target, "target-0");
@@ -224,35 +233,35 @@
 }
 
 #[test]
-fn what_runs_where_no_agent_is_asked_is_told_to_others() {
-    let mut entry = entry(agents(2));
+fn rows_list_the_requests_at_targets_whose_agents_are_unreachable() {
+    let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
-    let told = entry.state.row(entry.now.steady).running;
+    let reached = entry.state.row(entry.now.steady).running;
     entry.arrive(request(2, "/never/"));
 
     deny(&mut entry, 2, 1, Lapse::Away);
-    let away = entry.state.row(entry.now.steady).running;
+    let unreachable = entry.state.row(entry.now.steady).running;
 
-    assert!(told.is_empty(), "{told:?}");
-    assert_eq!(away.iter().map(|busy| busy.requests).sum::<u32>(), 1, "{away:?}");
+    assert!(reached.is_empty(), "{reached:?}");
+    assert_eq!(unreachable.iter().map(|busy| busy.requests).sum::<u32>(), 1, "{unreachable:?}");
 }
 
 #[test]
-fn a_target_that_its_agent_does_not_reach_is_left_alone_for_a_while() {
-    let mut entry = entry(agents(1));
+fn a_target_that_its_agent_cannot_reach_gets_no_reservations_during_a_backoff() {
+    let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
     let at_once = deny(&mut entry, 1, 1, Lapse::Unreached);
-    let later = entry.pass(BACKOFF);
+    let later = entry.pass(FIRST_BACKOFF_PASSED);
 
     assert!(starts(&at_once).is_empty() && reservations(&at_once).is_empty());
     assert_eq!(reservations(&later).len(), 1);
 }
 
 #[test]
-fn a_stream_that_broke_off_is_reserved_anew_before_all_others() {
-    let mut entry = entry(agents(3));
+fn a_stream_that_broke_off_is_reserved_at_other_targets_with_the_highest_rank() {
+    let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/resume/"));
     let first = start(&grant(&mut entry, 1, 1)).target;
     entry.send(Event::Began { ticket: 1 });
@@ -267,38 +276,44 @@
 
 #[test]
 fn requests_spread_over_the_agents_of_a_pool() {
-    let mut entry = entry(agents(8));
-    let mut times = [0; 8];
+    let mut entry = entry(targets_with_agents(8));
+    let mut reservations_per_target = [0; 8];
 
     for ticket in 0..400_u64 {
-        // Draws of real requests are hashes.
+        // The draws of real requests are hashes, so spread the tickets over the whole range.
         let draw = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let asked = scheduler::direct::Request { draw, ..request(ticket, "/never/") };
-        for reserved in reservations(&entry.arrive(asked)) {
+        let request = scheduler::direct::Request { draw, ..request(ticket, "/never/") };
+        for reserved in reservations(&entry.arrive(request)) {
             let number = reserved.target.trim_start_matches("target-");
-            times[number.parse::<usize>().expect("it is a number")] += 1;
+            reservations_per_target
+                [number.parse::<usize>().expect("a target name ends in a number")] += 1;
         }
     }
 
-    // 800 reservations are 100 each; chance alone stays far within half and twice that.
-    assert!(times.iter().all(|times| (50..200).contains(times)), "{times:?}");
+    // The mean of 800 reservations at 8 targets is 100; random deviations stay far within half and twice
+    // that.
+    assert!(
+        reservations_per_target.iter().all(|count| (50..200).contains(count)),
+        "{reservations_per_target:?}"
+    );
 }
 
-/// Guards against repeats beyond the budget: it gives them out one by one, while it refills, to requests that
-/// wait for room, and all of them are dispatched in the same moment once agents grant it.
+/// Guards against a burst of retries beyond the retry budget: the budget charges retries one by one, while it
+/// refills, to requests that wait for a slot, and all of these are dispatched at once when agents grant
+/// slots.
 #[test]
-fn repeats_that_waited_for_room_do_not_pass_the_budget_together() {
-    const PATIENT: Duration = Duration::from_secs(30);
-    // Allowed in a window in which nothing is asked for, as in the one before.
-    const SLACK: usize = 50;
-    let patient = Route { timeout: PATIENT, ..route("/patient/", Repeat::Resume) };
-    let mut entry = process(plan(1, vec![patient], None), agents(99));
+fn retries_that_waited_for_a_slot_stay_within_the_retry_budget_when_dispatched_together() {
+    const PATIENCE: Duration = Duration::from_secs(30);
+    // Retries that the budget allows in a window without new requests that follows another such window.
+    const MAX_RETRIES: usize = 50;
+    let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resume) };
+    let mut entry = process(plan(1, vec![patient], None), targets_with_agents(99));
     for _ in 0..30 {
         entry.pass(Duration::from_secs(1));
         entry.confirm();
     }
     for ticket in 0..90 {
-        let request = Request { patience: Some(PATIENT), ..request(ticket, "/patient/") };
+        let request = Request { patience: Some(PATIENCE), ..request(ticket, "/patient/") };
         let number = reservations(&entry.arrive(request))[0].number;
         grant(&mut entry, ticket, number);
     }
@@ -313,8 +328,9 @@
         entry.confirm();
     }
 
-    let resumed = reserved.iter().flat_map(|it| grant(&mut entry, it.ticket, it.number));
+    let resumed =
+        reserved.iter().flat_map(|reserved| grant(&mut entry, reserved.ticket, reserved.number));
     let resumed = starts(&resumed.collect::<Vec<_>>()).len();
 
-    assert!(resumed <= SLACK, "{resumed} of {SLACK}");
+    assert!(resumed <= MAX_RETRIES, "{resumed} of {MAX_RETRIES}");
 }
--- a/components/scheduler/tests/direct_holds.rs
+++ b/components/scheduler/tests/direct_holds.rs
@@ -1,8 +1,8 @@
-//! Direct dispatch: which tier leaves slots to the others.
+//! Withholding of slots from a pool's lowest tier.
 //!
-//! Load: a pool with more requests than slots. Where the lowest tier's streams are the longest, they
-//! hold every slot while short requests of higher tiers wait; where they are the shortest, a slot that
-//! is kept from them serves nobody.
+//! The pool has more requests than slots. If the lowest tier's streams are the longest, they occupy every
+//! slot while short requests of higher tiers wait, so a slot is withheld from them. If they are the shortest,
+//! a withheld slot would stay unused.
 
 mod direct_support;
 
@@ -12,18 +12,19 @@
 use scheduler::direct::{Outcome, plan::Repeat};
 use test_case::test_case;
 
-/// Requests that the mean is learnt from.
-const SEEN: u64 = 20;
+/// Number of requests of each tier from which the mean time in a slot is learned.
+const OBSERVED_REQUESTS: u64 = 20;
 
+/// A process with a high and a low tier, before one target with two slots.
 fn two_tiers() -> Process {
     let mut low = route("/low/", Repeat::Resume);
     low.rank = 1;
     process(plan(1, vec![route("/high/", Repeat::Resume), low], None), vec![target(1)])
 }
 
-/// Requests of a tier that hold their slots for so long.
-fn serve(process: &mut Process, from: u64, path: &str, held: Duration) {
-    for ticket in from..from + SEEN {
+/// Serves requests of a tier that each hold their slot for `held`, with tickets from `first_ticket` on.
+fn serve(process: &mut Process, first_ticket: u64, path: &str, held: Duration) {
+    for ticket in first_ticket..first_ticket + OBSERVED_REQUESTS {
         process.arrive(request(ticket, path));
         process.pass(held);
         process.end(ticket, Outcome::Done);
@@ -31,9 +32,9 @@
     }
 }
 
-#[test_case(1_000, 100 => (1, 1); "whose requests are the longest leaves a slot")]
-#[test_case(100, 1_000 => (2, 0); "whose requests are the shortest leaves none")]
-fn a_lowest_tier(low_ms: u64, high_ms: u64) -> (usize, usize) {
+#[test_case(1_000, 100 => (1, 1); "leaves a slot free if its requests are the longest")]
+#[test_case(100, 1_000 => (2, 0); "may use all slots if its requests are the shortest")]
+fn the_lowest_tier(low_ms: u64, high_ms: u64) -> (usize, usize) {
     let mut process = two_tiers();
     serve(&mut process, 100, "/high/", Duration::from_millis(high_ms));
     serve(&mut process, 200, "/low/", Duration::from_millis(low_ms));
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn nothing_is_kept_before_it_is_known_who_holds_slots_for_long() {
+fn no_slot_is_withheld_before_the_times_of_the_tiers_are_known() {
     let mut process = two_tiers();
 
     let low = (1..=2).map(|ticket| starts(&process.arrive(request(ticket, "/low/"))).len());
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_higher_tier_goes_first_whoever_holds_slots_for_long() {
+fn a_higher_tier_is_dispatched_first_even_if_its_requests_are_the_longest() {
     let mut process = two_tiers();
     serve(&mut process, 100, "/high/", Duration::from_millis(1_000));
     serve(&mut process, 200, "/low/", Duration::from_millis(100));
--- a/components/scheduler/tests/direct_lengths.rs
+++ b/components/scheduler/tests/direct_lengths.rs
@@ -1,7 +1,7 @@
-//! Answers of unlike length at targets of unlike pace.
+//! Choice of targets for answers of different lengths at targets of different speeds.
 //!
-//! Pattern: two of three targets take three times as long for a token as the third. Most answers are
-//! short; one of ten is so long that it ends in time at the fast targets only.
+//! Every third target is fast; the others take three times as long per token. Short answers end in time at
+//! all targets, long ones only at the fast targets.
 
 mod direct_support;
 
@@ -14,42 +14,49 @@
 use scheduler::direct::{Effect, Event, Outcome, Request, Reservation, Target, plan::Repeat};
 use test_case::test_case;
 
-const FAST: Duration = Duration::from_millis(2);
-const SLOW: Duration = Duration::from_millis(6);
-/// With a patience of 5 s this ends in time at fast targets only.
-const LONG: u32 = 1_200;
-const SHORT: u32 = 50;
-const TARGETS: u16 = 12;
-
+/// Time per token of a fast target.
+const FAST_STEP: Duration = Duration::from_millis(2);
+/// Time per token of a slow target.
+const SLOW_STEP: Duration = Duration::from_millis(6);
+/// Tokens of a long answer: with a patience of 5 s it ends in time at fast targets only.
+const LONG_TOKENS: u32 = 1_200;
+/// Tokens of a short answer: it ends in time at all targets.
+const SHORT_TOKENS: u32 = 50;
+const TARGET_COUNT: u16 = 12;
+
+/// Reports whether the target of this name is a fast one.
 fn is_fast(name: &str) -> bool {
-    let number: u16 = name.trim_start_matches("target-").parse().expect("it has a number");
+    let number: u16 =
+        name.trim_start_matches("target-").parse().expect("a target name ends in a number");
     number.is_multiple_of(3)
 }
 
+/// Returns the time per token of the target of this name.
 fn step(name: &str) -> Duration {
-    if is_fast(name) { FAST } else { SLOW }
+    if is_fast(name) { FAST_STEP } else { SLOW_STEP }
 }
 
+/// Grants a reservation with a load report that names a time per token.
 fn grant(process: &mut Process, reserved: &Reservation, step: Duration) -> Vec<Effect> {
     let load = Load { step: Some(step), ..Load::default() };
     let Reservation { ticket, number, .. } = *reserved;
     process.send(Event::Granted { ticket, number, load })
 }
 
-/// A process that knows nothing of its targets' paces.
-fn fresh(slow_only: bool) -> Process {
-    let numbers = (0..TARGETS).filter(|number| !slow_only || !number.is_multiple_of(3));
+/// An entry process that has no information on the speed of its targets.
+fn process_without_speeds(slow_only: bool) -> Process {
+    let numbers = (0..TARGET_COUNT).filter(|number| !slow_only || !number.is_multiple_of(3));
     let agent = |number| Some(address(2_000 + number));
     let targets = numbers.map(|number| Target { agent: agent(number), ..target(number) });
     process(plan(1, vec![route("/a/", Repeat::Resume)], None), targets.collect())
 }
 
-/// One that heard of them with the grants of requests that have ended.
-fn served(slow_only: bool) -> Process {
-    let mut process = fresh(slow_only);
+/// An entry process that received the speed of its targets with the grants of earlier requests.
+fn process_with_speeds(slow_only: bool) -> Process {
+    let mut process = process_without_speeds(slow_only);
     for ticket in 1_000..1_400 {
-        let reserved = reservations(&process.arrive(expecting(ticket, SHORT)));
-        let last = reserved.last().expect("it is reserved");
+        let reserved = reservations(&process.arrive(expecting(ticket, SHORT_TOKENS)));
+        let last = reserved.last().expect("the request is reserved");
         grant(&mut process, last, step(&last.target));
         process.end(ticket, Outcome::Done);
     }
@@ -58,23 +65,24 @@
 
 #[test]
 fn a_long_answer_is_reserved_only_where_it_ends_in_time() {
-    let mut process = served(false);
+    let mut process = process_with_speeds(false);
 
-    let reserved: Vec<Reservation> =
-        (0..20).flat_map(|ticket| reservations(&process.arrive(expecting(ticket, LONG)))).collect();
+    let reserved: Vec<Reservation> = (0..20)
+        .flat_map(|ticket| reservations(&process.arrive(expecting(ticket, LONG_TOKENS))))
+        .collect();
 
     assert!(reserved.iter().all(|reserved| is_fast(&reserved.target)));
 }
 
-#[test_case(Some(SHORT); "that is short")]
+#[test_case(Some(SHORT_TOKENS); "of short length")]
 #[test_case(None; "of unknown length")]
-fn an_answer_goes_anywhere(expected: Option<u32>) {
-    let mut process = served(false);
+fn an_answer_may_go_to_any_target(expected: Option<u32>) {
+    let mut process = process_with_speeds(false);
 
     let reserved: Vec<Reservation> = (0..40)
         .flat_map(|ticket| {
-            let asked = Request { expected, ..expecting(ticket, SHORT) };
-            reservations(&process.arrive(asked))
+            let request = Request { expected, ..expecting(ticket, SHORT_TOKENS) };
+            reservations(&process.arrive(request))
         })
         .collect();
 
@@ -82,47 +90,47 @@
 }
 
 #[test]
-fn where_none_ends_it_in_time_a_long_answer_goes_to_the_fastest() {
-    let mut process = served(true);
+fn a_long_answer_that_ends_in_time_nowhere_is_reserved_at_the_fastest_targets() {
+    let mut process = process_with_speeds(true);
 
-    assert!(!reservations(&process.arrive(expecting(1, 10 * LONG))).is_empty());
+    assert!(!reservations(&process.arrive(expecting(1, 10 * LONG_TOKENS))).is_empty());
 }
 
 #[test]
-fn room_at_a_target_that_is_too_slow_is_given_back_and_found_elsewhere() {
+fn a_grant_of_a_target_that_is_too_slow_is_withdrawn_and_another_target_is_reserved() {
     let agent = |number| Some(address(2_000 + number));
     let two = (0..2).map(|number| Target { agent: agent(number), ..target(number) });
     let mut process = process(plan(1, vec![route("/a/", Repeat::Resume)], None), two.collect());
-    let reserved = reservations(&process.arrive(expecting(1, SHORT)));
+    let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
     let fast = reserved.iter().find(|reserved| is_fast(&reserved.target));
-    grant(&mut process, fast.expect("it is reserved at both"), FAST);
-    let reserved = reservations(&process.arrive(expecting(100, LONG)));
+    grant(&mut process, fast.expect("the request is reserved at both targets"), FAST_STEP);
+    let reserved = reservations(&process.arrive(expecting(100, LONG_TOKENS)));
     let slow = reserved.into_iter().find(|reserved| !is_fast(&reserved.target));
-    let slow = slow.expect("nothing is known of its pace");
+    let slow = slow.expect("a target of unknown speed is reserved");
 
-    let effects = grant(&mut process, &slow, SLOW);
+    let effects = grant(&mut process, &slow, SLOW_STEP);
 
     assert!(starts(&effects).is_empty());
-    let given_back = |effect: &Effect| matches!(effect, Effect::Withdraw { ticket: 100, number } if *number == slow.number);
-    assert!(effects.iter().any(given_back));
+    let is_withdrawn = |effect: &Effect| matches!(effect, Effect::Withdraw { ticket: 100, number } if *number == slow.number);
+    assert!(effects.iter().any(is_withdrawn));
     assert!(reservations(&effects).iter().all(|reserved| reserved.target != slow.target));
 }
 
 #[test]
-fn what_a_caller_expects_is_what_is_reserved() {
-    let mut process = fresh(false);
+fn a_reservation_states_the_length_that_the_caller_expects() {
+    let mut process = process_without_speeds(false);
 
-    let reserved = reservations(&process.arrive(expecting(1, SHORT)));
+    let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
 
-    assert_eq!((reserved[0].tokens.prompt, reserved[0].tokens.output), (100, SHORT));
-    let effects = grant(&mut process, &reserved[0], FAST);
+    assert_eq!((reserved[0].tokens.prompt, reserved[0].tokens.output), (100, SHORT_TOKENS));
+    let effects = grant(&mut process, &reserved[0], FAST_STEP);
     assert_eq!(start(&effects).ticket, 1);
 }
 
-#[test_case(LONG, 4; "that is long")]
-#[test_case(SHORT, 12; "that is short")]
-fn a_refusal_says_how_many_targets_fitted_an_answer(expected: u32, fitting: u32) {
-    let mut process = served(false);
+#[test_case(LONG_TOKENS, 4; "of a long answer")]
+#[test_case(SHORT_TOKENS, 12; "of a short answer")]
+fn a_refusal_states_the_number_of_targets_that_fit(expected: u32, fitting: u32) {
+    let mut process = process_with_speeds(false);
     process.arrive(expecting(1, expected));
 
     let effects = process.pass(Duration::from_secs(2));
--- a/components/scheduler/tests/direct_sizes.rs
+++ b/components/scheduler/tests/direct_sizes.rs
@@ -1,7 +1,7 @@
-//! Whom a site serves that is asked for more than it can give.
+//! Shares of long and short answers that are served under overload.
 //!
-//! Pattern: two of three targets take three times as long for a token as the third. Lengths of answers are
-//! widely spread, so that the longest end in time at the fast targets only, where the others may go too.
+//! Every third target is fast; the others take three times as long per token. The lengths of answers are
+//! widely spread: the longest end in time at the fast targets only, where shorter answers may go too.
 
 mod direct_support;
 
@@ -10,6 +10,7 @@
 use direct_support::site::{Agents, Kind, Lengths, Site, World, world_of};
 use test_case::test_case;
 
+/// Three tiers of requests, which differ in patience and in the lengths of their answers.
 const KINDS: &[Kind] = &[
     Kind {
         path: "/first/",
@@ -39,58 +40,62 @@
         spread: 4.5,
     },
 ];
+/// Times per request at a fast and at a slow target, in ms.
 const LENGTHS: Lengths = Lengths { kinds: KINDS, first: [80.0, 160.0], token: [3.5, 10.5] };
-const MIDDLE: usize = 1;
-const LAST: usize = 2;
-/// Least that the longest are served, as a part of what their whole kind is.
-const LEAST: f64 = 0.5;
-/// The same where it leaves a margin, and for each other length as well.
-const EVEN: f64 = 0.75;
+/// Index in `KINDS` of the middle tier.
+const MIDDLE_KIND: usize = 1;
+/// Index in `KINDS` of the lowest tier.
+const LOWEST_KIND: usize = 2;
+/// Smallest ratio of the part of the longest answers that is served to the part of their whole kind.
+const MIN_LONGEST_RATIO: f64 = 0.5;
+/// Smallest such ratio for each tenth of the lengths. It leaves a margin over `MIN_LONGEST_RATIO`.
+const MIN_TENTH_RATIO: f64 = 0.75;
 
-/// Time for which requests come, in ms.
-const ASKED: u64 = 60_000;
+/// Time for which requests arrive, in ms.
+const ARRIVALS_MS: u64 = 60_000;
 
-fn play(load: f64, seed: u64) -> World {
+/// Runs a deployment that gets `load` requests per second until all requests have ended.
+fn simulate(load: f64, seed: u64) -> World {
     let site = Site { entries: 16, targets: 24, slots: 4, held: 0, load, agents: Agents::Beside };
     let mut world = world_of(site, LENGTHS, seed);
-    (0..ASKED).for_each(|_| world.pass());
+    (0..ARRIVALS_MS).for_each(|_| world.pass());
     world.finish();
     world
 }
 
-/// What is served of the longest tenth of a kind and of the fifth below it, as parts of what is served of
-/// the whole kind.
-fn longest(world: &World, kind: usize) -> [f64; 2] {
+/// Returns the part that is served of the longest tenth of a kind and of the fifth below it, each divided by
+/// the part that is served of the whole kind.
+fn served_ratios_of_longest(world: &World, kind: usize) -> [f64; 2] {
     [0.9..1.0, 0.7..0.9].map(|range| world.served(kind, range) / world.served(kind, 0.0..1.0))
 }
 
-/// Guards against long answers that are starved by short ones of their own tier.
+/// Guards against long answers that are starved by short answers of their own tier.
 #[test_case(160.0, 1; "load_160_seed_1")]
 #[test_case(160.0, 2; "load_160_seed_2")]
 #[test_case(175.0, 3; "load_175_seed_3")]
 #[test_case(175.0, 4; "load_175_seed_4")]
 fn long_answers_are_served_at_least_half_as_often_as_their_kind(load: f64, seed: u64) {
-    let world = play(load, seed);
+    let world = simulate(load, seed);
 
-    for kind in [MIDDLE, LAST] {
-        let longest = longest(&world, kind);
-        assert!(longest.iter().all(|&part| part >= LEAST), "{kind}: {longest:?}");
+    for kind in [MIDDLE_KIND, LOWEST_KIND] {
+        let ratios = served_ratios_of_longest(&world, kind);
+        assert!(ratios.iter().all(|&ratio| ratio >= MIN_LONGEST_RATIO), "kind {kind}: {ratios:?}");
     }
 }
 
-/// Guards against a tier's answers of one length that pay for those of another.
+/// Guards against answers of one length that are served at the expense of another length of the same tier.
 #[test_case(160.0, 1; "load_160_seed_1")]
 #[test_case(160.0, 2; "load_160_seed_2")]
 #[test_case(175.0, 3; "load_175_seed_3")]
 #[test_case(175.0, 4; "load_175_seed_4")]
 fn no_length_is_served_much_less_often_than_its_kind(load: f64, seed: u64) {
-    let world = play(load, seed);
+    let world = simulate(load, seed);
 
-    for kind in [MIDDLE, LAST] {
+    for kind in [MIDDLE_KIND, LOWEST_KIND] {
         let whole = world.served(kind, 0.0..1.0);
         let tenths = (0..10).map(|tenth| f64::from(tenth) / 10.0);
-        let parts: Vec<f64> =
+        let ratios: Vec<f64> =
             tenths.map(|from| world.served(kind, from..from + 0.1) / whole).collect();
-        assert!(parts.iter().all(|&part| part >= EVEN), "{kind}: {parts:.2?}");
+        assert!(ratios.iter().all(|&ratio| ratio >= MIN_TENTH_RATIO), "kind {kind}: {ratios:.2?}");
     }
 }
--- a/components/scheduler/tests/direct_target_limits.rs
+++ b/components/scheduler/tests/direct_target_limits.rs
@@ -1,8 +1,8 @@
-//! Targets that name a rate limit in their answers.
+//! Rate limits that targets name in their answers.
 //!
-//! Load: entry processes before targets that have room for more than is asked, one or two of which name
-//! a limit well below what they got before. The rule counts what such a target gets in 4 s from the processes
-//! that passed a named limit on half a second before, or earlier.
+//! The targets have more capacity than the load needs. One or two of them name a limit well below the rate at
+//! which they got requests before. The tests count the requests that such a target gets in 4 s, from all
+//! entry processes and from those that forwarded an answer with a limit at least half a second before.
 
 mod direct_support;
 
@@ -17,21 +17,27 @@
 use scheduler::direct::{Event, Outcome, Target};
 use test_case::test_case;
 
+/// Few entry processes, but more than a target has slots, and an agent beside each target.
 const SMALL: Site =
     Site { entries: 5, targets: 9, slots: 4, held: 250, load: 60.0, agents: Agents::Beside };
+/// Many entry processes and an agent beside each target.
 const LARGE: Site =
     Site { entries: 31, targets: 20, slots: 5, held: 250, load: 200.0, agents: Agents::Beside };
-/// So few processes that rows decide, beside agents that aren't asked.
+/// So few entry processes that they share the slots by rows and don't use the agents beside the targets.
 const FEW: Site = Site { entries: 3, ..SMALL };
+/// Few entry processes and targets without agents, besides targets of another pool that have agents.
 const PLAIN: Site =
     Site { entries: 3, targets: 3, slots: 6, held: 60, load: 40.0, agents: Agents::Others };
+/// Many entry processes and targets without agents, besides targets of another pool that have agents.
 const PLAIN_LARGE: Site =
     Site { entries: 31, targets: 5, slots: 6, held: 60, load: 150.0, agents: Agents::Others };
-const ALONE: Site = Site { agents: Agents::Nowhere, ..PLAIN };
-const ALONE_LARGE: Site = Site { agents: Agents::Nowhere, ..PLAIN_LARGE };
+/// Few entry processes and no agents at all.
+const NO_AGENTS: Site = Site { agents: Agents::Nowhere, ..PLAIN };
+/// Many entry processes and no agents at all.
+const NO_AGENTS_LARGE: Site = Site { agents: Agents::Nowhere, ..PLAIN_LARGE };
 
-/// Plays a site whose targets name limits.
-fn play(site: Site, fault: Fault, limits: &[(u16, f64)]) -> World {
+/// Simulates a deployment in which these targets name these limits, in requests per second.
+fn simulate(site: Site, fault: Fault, limits: &[(u16, f64)]) -> World {
     let mut world = world(site, fault, limits);
     while world.at < END {
         world.pass();
@@ -39,67 +45,83 @@
     world
 }
 
-/// Requests that a target may get in a window at most.
-fn allowed(limit: f64) -> usize {
+/// Returns the maximum number of requests that a target with this limit may get in a window: 1.5 times the
+/// limit, plus 5.
+fn max_requests(limit: f64) -> usize {
     (1.5 * limit * WINDOW as f64 / 1_000.0 + 5.0) as usize
 }
 
+/// Returns the name of the target of this number.
 fn name(number: u16) -> TargetName {
     target(number).name
 }
 
-/// Guards against targets that get many times the rate which they named, from all processes together.
+/// Guards against targets that get a multiple of their rate limit from all entry processes together.
 #[test_case(SMALL, Fault::Nothing, 1.0; "engines")]
-#[test_case(SMALL, Fault::Nothing, 2.1; "engines that take twice as much")]
+#[test_case(SMALL, Fault::Nothing, 2.1; "engines with twice the limit")]
 #[test_case(FEW, Fault::Nothing, 2.0; "engines at few processes")]
-#[test_case(FEW, Fault::EntriesKilled, 2.0; "few processes that are killed in series")]
+#[test_case(FEW, Fault::EntriesKilled, 2.0; "few processes killed in series")]
 #[test_case(LARGE, Fault::Nothing, 2.0; "engines at many processes")]
 #[test_case(PLAIN, Fault::Nothing, 3.0; "plain services")]
 #[test_case(PLAIN_LARGE, Fault::Nothing, 3.0; "plain services at many processes")]
-#[test_case(ALONE, Fault::Nothing, 3.0; "plain services without any agent")]
-#[test_case(ALONE_LARGE, Fault::Nothing, 3.0; "plain services without any agent at many processes")]
-#[test_case(SMALL, Fault::AgentsAway, 2.0; "engines whose agents are away")]
-#[test_case(LARGE, Fault::AgentsAway, 2.0; "engines whose agents are away at many processes")]
-#[test_case(SMALL, Fault::AgentsAwayFromOne, 2.0; "engines whose agents one process doesn't reach")]
-#[test_case(LARGE, Fault::AgentsAwayFromOne, 2.0; "the same at many processes")]
-#[test_case(SMALL, Fault::AgentsKilled, 2.0; "engines whose agents are killed in series")]
-#[test_case(LARGE, Fault::AgentsKilled, 2.0; "the same where processes are many")]
-#[test_case(SMALL, Fault::EntriesKilled, 2.0; "processes that are killed in series")]
-#[test_case(PLAIN, Fault::EntriesKilled, 2.0; "processes before plain services that are killed in series")]
-#[test_case(LARGE, Fault::EntriesKilled, 2.0; "many processes that are killed in series")]
-fn a_target_gets_no_more_than_the_rate_that_it_names(site: Site, fault: Fault, limit: f64) {
-    let world = play(site, fault, &[(0, limit), (1, limit)]);
+#[test_case(NO_AGENTS, Fault::Nothing, 3.0; "plain services without agents")]
+#[test_case(NO_AGENTS_LARGE, Fault::Nothing, 3.0; "no agents at many processes")]
+#[test_case(SMALL, Fault::AgentsAway, 2.0; "unreachable agents")]
+#[test_case(LARGE, Fault::AgentsAway, 2.0; "unreachable agents at many processes")]
+#[test_case(SMALL, Fault::AgentsAwayFromOne, 2.0; "agents that one process cannot reach")]
+#[test_case(LARGE, Fault::AgentsAwayFromOne, 2.0; "agents that one of many cannot reach")]
+#[test_case(SMALL, Fault::AgentsKilled, 2.0; "agents killed in series")]
+#[test_case(LARGE, Fault::AgentsKilled, 2.0; "agents killed in series at many processes")]
+#[test_case(SMALL, Fault::EntriesKilled, 2.0; "processes killed in series")]
+#[test_case(PLAIN, Fault::EntriesKilled, 2.0; "processes of plain services killed in series")]
+#[test_case(LARGE, Fault::EntriesKilled, 2.0; "many processes killed in series")]
+fn a_target_gets_requests_within_the_rate_limit_that_it_names(
+    site: Site,
+    fault: Fault,
+    limit: f64,
+) {
+    let world = simulate(site, fault, &[(0, limit), (1, limit)]);
 
     for to in 0..2 {
-        let told = world.most(to, |arrival| arrival.told);
+        let informed = world.most(to, |arrival| arrival.told);
         let all = world.most(to, |_| true);
-        assert!(told <= allowed(limit), "{}: {told} of {}", name(to), allowed(limit));
-        assert!(all <= allowed(limit), "{}: {all} of {} from all", name(to), allowed(limit));
+        assert!(
+            informed <= max_requests(limit),
+            "{}: {informed} of {} from informed processes",
+            name(to),
+            max_requests(limit)
+        );
+        assert!(
+            all <= max_requests(limit),
+            "{}: {all} of {} from all processes",
+            name(to),
+            max_requests(limit)
+        );
     }
 }
 
-/// Guards against limits that take from callers: others have room for what a limited target doesn't take.
+/// Guards against limits that delay or refuse requests although other targets have free slots for them.
 #[test_case(SMALL, 2.0; "engines")]
 #[test_case(LARGE, 2.0; "engines at many processes")]
 #[test_case(PLAIN, 3.0; "plain services")]
 #[test_case(PLAIN_LARGE, 3.0; "plain services at many processes")]
-#[test_case(ALONE, 3.0; "plain services without any agent")]
-fn what_a_limited_target_does_not_take_goes_elsewhere(site: Site, limit: f64) {
-    let world = play(site, Fault::Nothing, &[(0, limit)]);
+#[test_case(NO_AGENTS, 3.0; "plain services without agents")]
+fn requests_beyond_the_limit_of_a_target_go_to_other_targets(site: Site, limit: f64) {
+    let world = simulate(site, Fault::Nothing, &[(0, limit)]);
 
     let slow = world.waits.iter().filter(|&&wait| wait > 100).count();
     assert_eq!(world.refused, 0);
     assert!(slow * 50 < world.waits.len(), "{slow} of {}", world.waits.len());
 }
 
-/// Guards against limits that stay: a target that names none any more gets its part again.
+/// Guards against limits that remain in force after the target has ceased to name them.
 #[test_case(SMALL, 2.0; "engines")]
 #[test_case(FEW, 2.0; "engines at few processes")]
 #[test_case(LARGE, 1.0; "engines at many processes")]
 #[test_case(PLAIN, 3.0; "plain services")]
-#[test_case(ALONE, 3.0; "plain services without any agent")]
-fn a_target_that_names_no_limit_any_more_gets_its_part_again(site: Site, limit: f64) {
-    let world = play(site, Fault::Nothing, &[(0, limit)]);
+#[test_case(NO_AGENTS, 3.0; "plain services without agents")]
+fn a_target_that_ceases_to_name_a_limit_gets_its_share_of_requests_again(site: Site, limit: f64) {
+    let world = simulate(site, Fault::Nothing, &[(0, limit)]);
 
     let (limited, after) =
         (world.rate(0, NAMED + STABLE..LIFTED), world.rate(0, LIFTED + 4_000..END));
@@ -107,27 +129,27 @@
     assert!(after >= 0.5 * site.load / f64::from(site.targets), "{after}");
 }
 
-/// Guards against limits that outlive the start of a target that named them.
+/// Guards against limits that remain in force after the target that named them has restarted.
 #[test]
-fn a_target_that_starts_again_names_its_limit_anew() {
-    let mut entry = entry(0, 0, ALONE, blank(1).now);
+fn a_restart_of_a_target_lifts_its_limit() {
+    let mut entry = entry(0, 0, NO_AGENTS, blank(1).now);
     let start = starts(&entry.arrive(request(1, "/call/"))).remove(0);
     entry.send(Event::Limited { ticket: 1, per_second: 1.0 });
     let limited = entry.state.limited_targets();
 
-    let again = targets(ALONE).into_iter().map(|target| {
+    let restarted = targets(NO_AGENTS).into_iter().map(|target| {
         let incarnation = if target.name == start.target { 2 } else { 1 };
         Target { incarnation, ..target }
     });
-    entry.list(again.collect());
+    entry.list(restarted.collect());
 
     assert_eq!((limited, entry.state.limited_targets()), (1, 0));
 }
 
-/// Guards against a limited target that only a process without requests may send to.
+/// Guards against a limited target that only a process without requests may send to, so that it gets none.
 #[test]
-fn each_process_has_its_turn_where_others_send_nothing() {
-    let site = Site { entries: 2, targets: 1, ..ALONE };
+fn each_process_gets_its_turn_at_a_limited_target_while_others_send_nothing() {
+    let site = Site { entries: 2, targets: 1, ..NO_AGENTS };
     let now = blank(1).now;
     let mut turns = Vec::new();
     for number in 0..2 {
@@ -149,8 +171,8 @@
         }
     }
 
-    let of = |number| turns.iter().filter(move |turn| turn.0 == number).count();
-    assert!(of(0) > 0 && of(1) > 0, "{turns:?}");
+    let turns_of = |number| turns.iter().filter(move |turn| turn.0 == number).count();
+    assert!(turns_of(0) > 0 && turns_of(1) > 0, "{turns:?}");
     assert!(
         turns.iter().all(|&(number, second)| !turns.contains(&(1 - number, second))),
         "{turns:?}"
