--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -36,9 +36,9 @@
 
 /// Weight of the newest observation in the exponential moving averages.
 const EWMA_WEIGHT: f64 = 0.2;
-/// First backoff from a target that accepts no connection or is silent; doubles with each repeat.
+/// First backoff from a target that accepts no connection or is unresponsive; doubles with each repeat.
 const MIN_UNREACHABLE_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest backoff from a target that accepts no connection or is silent.
+/// Longest backoff from a target that accepts no connection or is unresponsive.
 const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(2);
 /// Time for which a target that rejected a request gets no other request.
 const REJECTION_BACKOFF: Duration = Duration::from_millis(60);
@@ -85,7 +85,7 @@
     lane: Lane,
     /// End of the backoff from the target; `None` before the first one.
     backoff_until: Option<Instant>,
-    /// Length of the last backoff from an unreachable or silent target; zero once it begins an answer.
+    /// Length of the last backoff from an unreachable or unresponsive target; zero once it begins an answer.
     unreachable_backoff: Duration,
     /// End of the backoff from the target's agent; `None` before the first one.
     agent_backoff_until: Option<Instant>,
@@ -95,7 +95,7 @@
     last_load: Option<(Instant, Load)>,
     /// Moving average of the time to the first event, in ms per prompt token; `None` before the first.
     first_event_ms_per_token: Option<f64>,
-    /// Time per token of an answer, in ms, as its agent reports it; `None` if unknown.
+    /// Time per token of an answer, in ms, as the target's agent reports it; `None` if unknown.
     ms_per_token: Option<f64>,
     /// Moving average of the part of requests, from 0 to 1, that failed or were lost.
     failure_rate: f64,
@@ -236,7 +236,7 @@
             .is_none_or(|ms_per_token| ms_per_token <= fastest_ms_per_token * MAX_FAST_SLOWDOWN)
     }
 
-    /// Returns the time per token of an answer, in ms, as its agent reports it; `None` if unknown.
+    /// Returns the time per token of an answer, in ms, as the target's agent reports it; `None` if unknown.
     pub fn pace(&self) -> Option<f64> {
         self.ms_per_token
     }
@@ -462,7 +462,7 @@
         }
     }
 
-    /// Starts or doubles the backoff from a target that accepts no connection or is silent.
+    /// Starts or doubles the backoff from a target that accepts no connection or is unresponsive.
     pub fn mark_down(&mut self, now: Instant, name: &TargetName, incarnation: Incarnation) {
         if let Some(state) = self.state_mut(name, incarnation) {
             state.unreachable_backoff = (state.unreachable_backoff * 2)
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -90,8 +90,8 @@
 }
 
 impl Capacity {
-    /// Sets the number of other entry processes that may share the targets. It includes all known processes,
-    /// also those that no row was received from yet or lately.
+    /// Sets the number of other entry processes that may share the targets. It includes all discovered
+    /// processes, also those from which no row has been received yet or lately.
     pub fn share(&mut self, others: usize) {
         if std::mem::replace(&mut self.other_processes, others) != others {
             self.assign_agents();
@@ -100,8 +100,8 @@
 
     /// Chooses an agent for each target at which an entry process's part is at most one slot: with so many
     /// processes, rows are older than the time for which a slot is held. The agent of another target is
-    /// used only if the part is less than one slot. A process that knows of no other process may not have
-    /// discovered them yet, and uses every target's own agent.
+    /// used only if the part is less than one slot. A process that has discovered no other process may yet do
+    /// so, and uses every target's own agent.
     pub(super) fn assign_agents(&mut self) {
         let ready = self.states.iter().map(|state| &state.target).filter(|target| target.ready);
         let agents: Vec<_> =
@@ -123,7 +123,8 @@
 
     /// Chooses a target with an agent at which a request isn't reserved yet; `None` if there is none. The
     /// first choice is the target with the lowest expected time to the first event. Further choices are
-    /// random and weighted by cost, since this process knows little of targets that many processes share.
+    /// random and weighted by cost, since this process has little information on targets that many processes
+    /// share.
     pub fn choose_target(
         &self,
         now: Instant,
--- a/components/scheduler/src/direct/seek.rs
+++ b/components/scheduler/src/direct/seek.rs
@@ -1,6 +1,6 @@
-//! Requests whose target is silent, that is, has sent nothing of its answer for some time. Such a request
-//! waits for a slot at another target and keeps its dispatch meanwhile, since the silent target may still
-//! answer. The dispatch is cancelled once another target has a slot.
+//! Requests whose target is unresponsive: it has sent nothing of its answer for some time. Such a request
+//! waits for a slot at another target and keeps its dispatch meanwhile, since the unresponsive target may
+//! still answer. The dispatch is cancelled once another target has granted a slot.
 
 use std::time::Instant;
 
@@ -11,8 +11,8 @@
 };
 
 impl State {
-    /// Handles a silent target: starts a backoff from it and lets the request wait for a slot at another
-    /// target. Does nothing more than record `begun` if the request may not be repeated.
+    /// Handles an unresponsive target: starts a backoff from it and lets the request wait for a slot at
+    /// another target. Does nothing more than record `begun` if the request may not be repeated.
     pub(super) fn quiet(&mut self, now: Instant, ticket: Ticket, begun: bool) {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
@@ -58,8 +58,8 @@
         true
     }
 
-    /// Releases the slot that a request holds at another target if its dispatch to the silent target hasn't
-    /// ended by its deadline. Returns `false` if the request holds no such slot.
+    /// Releases the slot that a request holds at another target if its dispatch to the unresponsive target
+    /// hasn't ended by its deadline. Returns `false` if the request holds no such slot.
     pub(super) fn give_up_move(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> bool {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return false;
--- a/components/scheduler/tests/direct_agents_fuzz.rs
+++ b/components/scheduler/tests/direct_agents_fuzz.rs
@@ -45,18 +45,18 @@
 }
 
 /// A reservation: the index of its entry process, its request, and its number among those of the request.
-type Key = (usize, Ticket, u32);
+type ReservationKey = (usize, Ticket, u32);
 
 /// A message between an entry process and an agent about a reservation.
 #[derive(Clone, Copy, Debug)]
 enum Message {
     /// Asks for a slot, with the rank of the request.
-    Reserve(Key, u8),
+    Reserve(ReservationKey, u8),
     /// Confirms that the entry process uses the granted slot.
-    Hold(Key),
-    Withdraw(Key),
-    Granted(Key),
-    Denied(Key),
+    Hold(ReservationKey),
+    Withdraw(ReservationKey),
+    Granted(ReservationKey),
+    Denied(ReservationKey),
 }
 
 struct World {
@@ -66,9 +66,9 @@
     /// Messages in flight, in order, by entry process, agent and whether they go to the agent.
     in_flight: BTreeMap<(usize, usize, bool), VecDeque<Message>>,
     /// Index of the agent that holds each reservation which wasn't withdrawn or denied.
-    open_reservations: BTreeMap<Key, usize>,
+    open_reservations: BTreeMap<ReservationKey, usize>,
     /// The granted reservation of each request that runs.
-    running: BTreeMap<(usize, Ticket), Key>,
+    running: BTreeMap<(usize, Ticket), ReservationKey>,
     /// Number of requests that have arrived.
     arrived: Ticket,
 }
@@ -100,7 +100,7 @@
     ]
 }
 
-fn reservation_id((entry, ticket, number): Key) -> Id {
+fn reservation_id((entry, ticket, number): ReservationKey) -> Id {
     Id { request: Uuid::from_u64_pair(entry as u64, ticket), attempt: number }
 }
 
@@ -125,11 +125,11 @@
 }
 
 impl World {
-    fn enqueue(&mut self, key: Key, agent: usize, to_agent: bool, message: Message) {
+    fn enqueue(&mut self, key: ReservationKey, agent: usize, to_agent: bool, message: Message) {
         self.in_flight.entry((key.0, agent, to_agent)).or_default().push_back(message);
     }
 
-    fn send_to_entry(&mut self, entry: usize, granted: Option<Key>, event: Event) {
+    fn send_to_entry(&mut self, entry: usize, granted: Option<ReservationKey>, event: Event) {
         let effects = self.entries[entry].send(event);
         for effect in effects {
             match effect {
--- a/components/scheduler/tests/direct_lengths.rs
+++ b/components/scheduler/tests/direct_lengths.rs
@@ -139,7 +139,7 @@
         Effect::Refuse { grounds, .. } => Some(grounds),
         _ => None,
     });
-    let fits = grounds.expect("no agent granted room").fits;
+    let fits = grounds.expect("the request is refused, since no agent granted a slot").fits;
     assert_eq!((fits.up, fits.fitting, fits.fast), (12, fitting, 4));
     assert_eq!(fits.fastest, Some(2.0));
 }
--- a/components/scheduler/tests/direct_target_limits.rs
+++ b/components/scheduler/tests/direct_target_limits.rs
@@ -17,13 +17,13 @@
 use scheduler::direct::{Event, Outcome, Target};
 use test_case::test_case;
 
-/// Few entry processes, but more than a target has slots, and an agent beside each target.
+/// Few entry processes, but more than a target has slots, and an own agent for each target.
 const SMALL: Site =
     Site { entries: 5, targets: 9, slots: 4, held: 250, load: 60.0, agents: Agents::Beside };
-/// Many entry processes and an agent beside each target.
+/// Many entry processes and an own agent for each target.
 const LARGE: Site =
     Site { entries: 31, targets: 20, slots: 5, held: 250, load: 200.0, agents: Agents::Beside };
-/// So few entry processes that they share the slots by rows and don't use the agents beside the targets.
+/// So few entry processes that they share the slots by rows and don't use the targets' own agents.
 const FEW: Site = Site { entries: 3, ..SMALL };
 /// Few entry processes and targets without agents, besides targets of another pool that have agents.
 const PLAIN: Site =
