--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken, and what they take of their accounts' limits.
+//! Admission of requests: routing, authentication, and claims on account quotas.
 
 use std::time::Duration;
 
@@ -13,6 +13,7 @@
 };
 
 impl State {
+    /// Handles a request that arrived whole: queues it, or refuses it with the reason.
     pub(super) fn arrive(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
         let ticket = request.ticket;
         let mut grounds = Box::<Grounds>::default();
@@ -26,6 +27,8 @@
         }
     }
 
+    /// Returns the request's initial state, or why it is refused. Fills `grounds`, the log record of a
+    /// refusal, with what is known of the request up to that point.
     fn admit(
         &mut self,
         now: Now,
@@ -33,9 +36,9 @@
         grounds: &mut Grounds,
     ) -> Result<Pending, Refusal> {
         let plan = self.plan.clone().ok_or(refuse(Reason::NotReady).after(RETRY))?;
-        // A configuration that may be out of date may lack the route or the key.
-        let no_route = if self.fresh { Reason::NoRoute } else { Reason::NotReady };
-        let route = plan.route(&request.host, &request.path).ok_or(refuse(no_route))?;
+        // A stale configuration may lack a route that exists by now.
+        let no_route_reason = if self.fresh { Reason::NoRoute } else { Reason::NotReady };
+        let route = plan.route(&request.host, &request.path).ok_or(refuse(no_route_reason))?;
         grounds.route.clone_from(&route.name);
         grounds.tier = Some(route.rank);
         grounds.expected = request.expected;
@@ -49,38 +52,39 @@
         if self.is_quarantined(&request.fingerprint) {
             return Err(refuse(Reason::Quarantined));
         }
-        let held = account.as_ref().and_then(|name| plan.accounts.get(name));
+        let account_settings = account.as_ref().and_then(|name| plan.accounts.get(name));
         let (mut units, mut stage) = (0.0, Stage::Waiting);
-        if let (Some(name), Some(limit)) = (&account, held.and_then(|account| account.limit)) {
+        let limit = account_settings.and_then(|account| account.limit);
+        if let (Some(name), Some(limit)) = (&account, limit) {
             let claim = State::claim(&limit, route.rank, &request);
             (units, stage) = (claim.units, Stage::Limited(claim));
             let opened = self.opened;
-            let usage = self.accounts.entry(name.clone());
-            usage.or_insert_with(|| allowance::open(opened)).ask(claim);
+            let account_entry = self.accounts.entry(name.clone());
+            account_entry.or_insert_with(|| allowance::open(opened)).ask(claim);
         }
-        self.earn(now.steady, &pool);
-        let wait = patience.min(WAIT_MIN.max(route.aim.mul_f64(WAIT_PART)));
+        self.count_for_retry_budget(now.steady, &pool);
+        let max_wait = patience.min(WAIT_MIN.max(route.aim.mul_f64(WAIT_PART)));
         Ok(Pending {
-            account_rank: held.map_or(0, |account| account.rank),
-            lowest_account: self.lowest_account,
+            account_rank: account_settings.map_or(0, |account| account.rank),
+            lowest_account_rank: self.lowest_account,
             tier: route.rank,
-            promote: now.steady + wait.mul_f64(PROMOTE_PART),
-            promoted: false,
+            promote: now.steady + max_wait.mul_f64(PROMOTE_PART),
+            is_promoted: false,
             arrived: now.steady,
             until: now.steady + patience,
-            give_up: now.steady + wait,
+            give_up: now.steady + max_wait,
             units,
             route: route.name.clone(),
             account,
             pool,
-            repeat: route.repeat,
-            stream: route.stream,
+            retry_policy: route.repeat,
+            is_stream: route.stream,
             attempts: route.attempts,
             dispatches: 0,
             charge: Charge::Free,
-            ran: false,
+            may_have_run: false,
             begun: false,
-            failed: false,
+            has_failed_answer: false,
             tried: Vec::new(),
             rejected: Vec::new(),
             reserved: Vec::new(),
@@ -92,6 +96,8 @@
         })
     }
 
+    /// Returns the account that a key belongs to; `None` where the route is public or no accounts are
+    /// configured. A stale configuration may lack the key, so that no key is accepted or rejected by it.
     fn authenticate(
         &self,
         plan: &Plan,
--- a/components/scheduler/src/direct/budget.rs
+++ b/components/scheduler/src/direct/budget.rs
@@ -1,84 +1,90 @@
-//! How many repeats a pool may get from this process.
+//! Retry budget: how often this process may dispatch requests of a pool again.
 //!
-//! All processes together may repeat a part of what callers ask for, and a fixed number besides. Each
-//! earns its repeats: so many for each of its own requests, and an equal share of the number as time
-//! passes. It starts with none, so that however often processes are killed, all that they start with is
-//! what had been earned before.
+//! Over a window of time, all processes together may retry a fraction of the requests of callers, plus a
+//! fixed number of retries. Each process adds to its budget a fraction of a retry for each request that it
+//! admits, and an equal share of the fixed number over the window. The budget of a started process is empty:
+//! otherwise, processes that are killed and restarted over and over would together exceed the limit.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Part of the deployment's number that is used: requests are counted a little later than their
-/// callers sent them.
-const SLACK_PART: f64 = 0.9;
-/// Part of that which may be there at once; the rest comes back over the window.
-const STOCK_PART: f64 = 0.75;
-/// Part of the ratio that each request earns.
-const RATIO_PART: f64 = 0.8;
-/// Part of what the requests of a window earned that may be left for the next: with `RATIO_PART` no more
-/// than the whole ratio.
-const KEPT_PART: f64 = 0.25;
+/// Fraction of [`Rule::slack`] that is used; the rest is a margin, since requests are counted a little later
+/// than their callers sent them.
+const USED_SLACK_FRACTION: f64 = 0.9;
+/// Fraction of a process's share of the slack that the bucket can hold; the rest is added evenly over the
+/// window.
+const BUCKET_SLACK_FRACTION: f64 = 0.75;
+/// Fraction of [`Rule::ratio`] that each request adds to the bucket.
+const EARNED_RATIO_FRACTION: f64 = 0.8;
+/// Fraction of the retries earned by the requests of a window that the bucket can hold for the next window.
+/// With [`EARNED_RATIO_FRACTION`], that allows a window at most 0.8 * (1 + 0.25) = 1 times the ratio.
+const BUCKET_EARNED_FRACTION: f64 = 0.25;
 
-/// What a deployment allows.
+/// Limit on the retries of all processes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Repeats for each request.
+    /// Retries allowed for each request of a caller.
     pub ratio: f64,
-    /// Repeats besides, over all processes.
+    /// Retries allowed in addition, over all processes together.
     pub slack: f64,
-    /// Time over which both are counted.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Duration,
 }
 
-/// Repeats that one pool may still get: a token bucket.
+/// Token bucket of the retries that this process may still make in one pool.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    /// Requests of the last window.
-    requests: VecDeque<Instant>,
-    left: f64,
-    refilled: Instant,
+    /// Times at which the requests of the last window were counted, oldest first.
+    request_times: VecDeque<Instant>,
+    /// Retries in the bucket; a retry takes 1.
+    retries_left: f64,
+    /// Time of the last refill.
+    refilled_at: Instant,
 }
 
-/// A budget of a process that started then.
+/// Creates an empty budget for a process that was started at the given time.
 pub fn open(started: Instant) -> Budget {
-    Budget { requests: VecDeque::new(), left: 0.0, refilled: started }
+    Budget { request_times: VecDeque::new(), retries_left: 0.0, refilled_at: started }
 }
 
 impl Budget {
-    /// Counts a request of a caller.
-    pub fn asked(&mut self, now: Instant, rule: &Rule, processes: u32) {
-        self.requests.push_back(now);
-        self.left += RATIO_PART * rule.ratio;
+    /// Counts a request of a caller. `processes` is the number of processes that share the slack.
+    pub fn count_request(&mut self, now: Instant, rule: &Rule, processes: u32) {
+        self.request_times.push_back(now);
+        self.retries_left += EARNED_RATIO_FRACTION * rule.ratio;
         self.refill(now, rule, processes);
     }
 
-    /// Takes a repeat; `false` where none is left.
-    pub fn repeat(&mut self, now: Instant, rule: &Rule, processes: u32) -> bool {
+    /// Takes one retry from the bucket. Returns `false` where less than one is left. `processes` is the
+    /// number of processes that share the slack.
+    pub fn take_retry(&mut self, now: Instant, rule: &Rule, processes: u32) -> bool {
         self.refill(now, rule, processes);
-        let allowed = self.left >= 1.0;
+        let allowed = self.retries_left >= 1.0;
         if allowed {
-            self.left -= 1.0;
+            self.retries_left -= 1.0;
         }
         allowed
     }
 
-    /// Gives a repeat back that wasn't dispatched.
+    /// Returns a retry to the bucket that was taken and then not dispatched.
     pub fn give_back(&mut self) {
-        self.left += 1.0;
+        self.retries_left += 1.0;
     }
 
+    /// Adds the share of the slack for the time since the last refill, and caps the bucket.
     fn refill(&mut self, now: Instant, rule: &Rule, processes: u32) {
-        while self.requests.front().is_some_and(|&at| now.duration_since(at) > rule.window) {
-            self.requests.pop_front();
+        while self.request_times.front().is_some_and(|&at| now.duration_since(at) > rule.window) {
+            self.request_times.pop_front();
         }
-        let passed = now.saturating_duration_since(self.refilled);
-        self.refilled = now;
-        let share = SLACK_PART * rule.slack / f64::from(processes);
-        let earned = RATIO_PART * rule.ratio * self.requests.len() as f64;
-        let most = STOCK_PART * share + KEPT_PART * earned;
-        let comes = (1.0 - STOCK_PART) * share * passed.div_duration_f64(rule.window);
-        self.left = (self.left + comes).min(most);
+        let passed = now.saturating_duration_since(self.refilled_at);
+        self.refilled_at = now;
+        let slack_share = USED_SLACK_FRACTION * rule.slack / f64::from(processes);
+        let earned = EARNED_RATIO_FRACTION * rule.ratio * self.request_times.len() as f64;
+        let capacity = BUCKET_SLACK_FRACTION * slack_share + BUCKET_EARNED_FRACTION * earned;
+        let added =
+            (1.0 - BUCKET_SLACK_FRACTION) * slack_share * passed.div_duration_f64(rule.window);
+        self.retries_left = (self.retries_left + added).min(capacity);
     }
 }
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -1,4 +1,4 @@
-//! A request that hasn't ended.
+//! State of the requests that this process has admitted and that haven't ended.
 
 use std::{
     net::SocketAddr,
@@ -15,175 +15,183 @@
     rollout::{Lane, Rollouts},
 };
 
-/// Order in which requests of a pool are dispatched.
+/// Sort key of a queued request; the lowest key of a queue is dispatched first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Order {
-    /// What goes first; see [`Pending::order`].
+    /// Ranks of account and tier, compared from left to right; 0 is the highest. See [`Pending::order`].
     pub rank: [u32; 3],
-    /// When it arrived.
+    /// Arrival time of the request; of equal ranks the oldest request goes first.
     pub arrived: Instant,
-    /// Its number.
+    /// Number of the request in this process; makes the key unique.
     pub ticket: Ticket,
 }
 
 /// A dispatch that hasn't ended.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// Its slot.
+    /// Slot that the dispatch occupies at its target.
     pub slot: Slot,
-    /// When it was dispatched.
+    /// Time of the dispatch.
     pub since: Instant,
-    /// Time to its first event, once that came.
+    /// Time from the dispatch to the first event or the head of the answer; `None` before that arrives.
     pub first: Option<Duration>,
-    /// Whether its answer names a rate limit of the target.
+    /// Whether the answer states a rate limit of the target.
     pub limited: bool,
-    /// The reservation that its slot was granted to, where the target has an agent.
+    /// Number of the reservation that the target's agent granted for the slot; `None` where the slot was
+    /// taken without an agent.
     pub reservation: Option<u32>,
 }
 
-/// Room at another target, for a request whose own is silent.
+/// Slot that is held at a second target for a request whose current target sends nothing.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// The slot.
+    /// Slot at the second target.
     pub slot: Slot,
-    /// The reservation that it was granted to, where that target has an agent.
+    /// Number of the reservation that the second target's agent granted for the slot; `None` where the slot
+    /// was taken without an agent.
     pub reservation: Option<u32>,
 }
 
-/// A place at a target's agent.
+/// A reservation that is queued at a target's agent.
 #[derive(Clone, Debug)]
 pub struct Reserved {
-    /// Which of the request's reservations.
+    /// Number of the reservation, from 1, unique within its request.
     pub number: u32,
-    /// The target.
+    /// Target whose slot is requested.
     pub target: TargetName,
-    /// Its start.
+    /// Incarnation of the target when the reservation was made.
     pub incarnation: Incarnation,
-    /// Where the agent listens.
+    /// Address on which the agent listens.
     pub agent: SocketAddr,
-    /// Whether the agent was told that the target names a rate limit.
+    /// Whether the reservation told the agent that the target has a rate limit.
     pub limited: bool,
 }
 
-/// Where a request is.
+/// Stage of a request between admission and its end.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// It waits for units of its account's limit.
+    /// The request waits for units of its account's quota.
     Limited(Claim),
-    /// It waits for room.
+    /// The request waits for a free slot at any target of its pool.
     Waiting,
-    /// A target has it.
+    /// The request is in flight at a target.
     Running(Running),
-    /// A target has it that is silent, and it waits for room at another.
+    /// The request is in flight at a target that sends nothing, and waits for a slot at another target.
     Seeking(Running),
-    /// Another has room, and gets it once the dispatch to the silent one has ended.
+    /// A slot is held at another target; the request is dispatched there once the dispatch to the target that
+    /// sends nothing has ended.
     Moving(Running, Held),
 }
 
-/// What the next dispatch of a request takes of the budget for repeats.
+/// What the next dispatch of a request takes from the retry budget of its pool.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Charge {
-    /// Nothing.
+    /// The dispatch takes nothing from the budget.
     Free,
-    /// A repeat, which has yet to be taken.
+    /// The dispatch takes one retry, which hasn't been taken yet; the request waits until one is available.
     Due,
-    /// A repeat that was taken.
+    /// The dispatch takes one retry, which has been taken already and is returned if the dispatch doesn't
+    /// happen.
     Paid,
 }
 
-/// A request and what was decided about it.
+/// A request that was admitted, and the state of its dispatches.
 #[derive(Clone, Debug)]
 pub struct Pending {
-    /// As it arrived.
+    /// Request as it arrived.
     pub request: Request,
-    /// Its route, for logs.
+    /// Name of the request's route, for logs.
     pub route: String,
-    /// Whose it is.
+    /// Client account of the request; `None` where its route is public or no accounts are configured.
     pub account: Option<AccountName>,
-    /// Where it goes.
+    /// Pool whose targets may run the request.
     pub pool: PoolName,
-    /// Rank of its account, and the lowest that any account has.
+    /// Rank of the request's account; 0 is the highest.
     pub account_rank: u32,
-    /// The lowest rank of all accounts.
-    pub lowest_account: u32,
-    /// Rank of its route.
+    /// Lowest rank (highest number) that any configured account has.
+    pub lowest_account_rank: u32,
+    /// Rank of the route's tier; 0 is the highest.
     pub tier: u32,
-    /// When its account's rank begins to count; at most `give_up`.
+    /// Time from which the account's rank takes precedence over the tier in the queue; at most `give_up`.
     pub promote: Instant,
-    /// Whether it counts.
-    pub promoted: bool,
-    /// When it arrived.
+    /// Whether the account's rank already takes precedence.
+    pub is_promoted: bool,
+    /// Arrival time of the request.
     pub arrived: Instant,
-    /// When its time is over.
+    /// Deadline for the end of the answer.
     pub until: Instant,
-    /// When it is refused if it still waits; at most `until`.
+    /// Time at which the request is refused if it still waits for a slot; at most `until`.
     pub give_up: Instant,
-    /// What it takes of its account's limit, once it doesn't wait for that any more.
+    /// Units that the request takes from its account's quota; they have been taken in every stage except
+    /// [`Stage::Limited`]. 0 where the account has no limit.
     pub units: f64,
-    /// What may be repeated.
-    pub repeat: Repeat,
-    /// Whether its answer is a stream.
-    pub stream: bool,
-    /// Most targets that may run it.
+    /// Whether the request may be dispatched again after a target may have run it.
+    pub retry_policy: Repeat,
+    /// Whether the answer is a stream of events.
+    pub is_stream: bool,
+    /// Maximum number of targets that may run the request.
     pub attempts: u32,
-    /// Dispatches so far.
+    /// Number of dispatches so far.
     pub dispatches: u32,
-    /// What its next dispatch takes of the budget for repeats.
+    /// What the next dispatch takes from the pool's retry budget.
     pub charge: Charge,
-    /// Whether it may have run.
-    pub ran: bool,
-    /// Whether a part of the answer went to the caller.
+    /// Whether any target may have run the request.
+    pub may_have_run: bool,
+    /// Whether a part of the answer was sent to the caller.
     pub begun: bool,
-    /// Whether a target answered with a failure, which the caller gets if no other answers.
-    pub failed: bool,
-    /// Targets that may have run it.
+    /// Whether a target answered with a failure; it is passed to the caller if no other target answers.
+    pub has_failed_answer: bool,
+    /// Targets that may have run the request; it isn't dispatched to them again.
     pub tried: Vec<TargetName>,
-    /// Targets that rejected it: it goes to another first.
+    /// Targets that rejected the request; other targets are preferred.
     pub rejected: Vec<TargetName>,
-    /// Its places at agents; none unless it waits.
+    /// Reservations that are queued at agents; empty unless the request waits for a slot.
     pub reserved: Vec<Reserved>,
-    /// Reservations so far.
+    /// Number of reservations made so far; the next one gets the next number.
     pub reservations: u32,
-    /// When it is reserved at one more agent.
+    /// Time from which the request may be reserved at one more agent.
     pub next_reservation: Instant,
-    /// Whether it goes to a version that is on trial; `None` before it began to wait for room.
+    /// Whether the request was selected for a version that is being rolled out; `None` before it was first
+    /// considered for a slot.
     pub chosen: Option<bool>,
-    /// Where it is.
+    /// Current stage of the request.
     pub stage: Stage,
 }
 
 impl Pending {
-    /// Its place among those that wait.
+    /// Returns the key by which the request is sorted in its queue.
     ///
-    /// An account's rank goes before the route's: whoever is shed is shed by it. But a request that
-    /// can still wait lets those of higher tiers of any account go first, and is on time all the same:
-    /// its account's rank counts in the last quarter of its wait.
+    /// The account's rank takes precedence over the tier, so that overload sheds the requests of
+    /// low-ranked accounts. It does so only in the last quarter of a request's wait: before that, a
+    /// request can let higher tiers of all accounts go first and still be on time.
     pub fn order(&self) -> Order {
-        // An answer that has begun goes on before anything else begins: half of it is lost otherwise.
+        // An interrupted answer is resumed before new answers begin: its caller already has a part of it,
+        // which is lost if the rest doesn't follow.
         if self.begun {
             return Order { rank: [0; 3], arrived: self.arrived, ticket: self.request.ticket };
         }
-        let account = if self.promoted { self.account_rank } else { self.lowest_account };
+        let account = if self.is_promoted { self.account_rank } else { self.lowest_account_rank };
         let rank = [account, self.tier, self.account_rank];
         Order { rank, arrived: self.arrived, ticket: self.request.ticket }
     }
 
-    /// When something has to be decided about it, if it still waits then.
-    pub fn wake(&self) -> Instant {
-        if self.promoted { self.give_up } else { self.promote }
+    /// Returns the time of the next queue timer of a waiting request: its promotion or, after that, the end
+    /// of its wait.
+    pub fn next_timer(&self) -> Instant {
+        if self.is_promoted { self.give_up } else { self.promote }
     }
 
-    /// Whether it may be dispatched again after it may have run at so many targets.
+    /// Returns whether the request may be dispatched again after `ran` targets may have run it.
     pub fn may_repeat(&self, ran: usize) -> bool {
-        let allowed = match self.repeat {
+        let allowed = match self.retry_policy {
             Repeat::Safe => !self.begun,
-            Repeat::Resume => self.stream,
+            Repeat::Resume => self.is_stream,
             Repeat::Never => false,
         };
         allowed && ran < self.attempts as usize
     }
 
-    /// Its dispatch that hasn't ended.
+    /// Returns the dispatch that is in flight; `None` while the request is only queued.
     pub fn running(&self) -> Option<&Running> {
         match &self.stage {
             Stage::Running(running) | Stage::Seeking(running) | Stage::Moving(running, _) => {
@@ -193,7 +201,7 @@
         }
     }
 
-    /// Its dispatch that hasn't ended.
+    /// Returns the dispatch that is in flight, for changes; `None` while the request is only queued.
     pub fn running_mut(&mut self) -> Option<&mut Running> {
         match &mut self.stage {
             Stage::Running(running) | Stage::Seeking(running) | Stage::Moving(running, _) => {
@@ -203,16 +211,18 @@
         }
     }
 
-    /// Sends it to the version in use from now on; whether it was chosen for the one on trial.
-    pub fn unchoose(&mut self, rollouts: &mut Rollouts) -> bool {
-        let chosen = self.chosen.replace(false) == Some(true);
-        if chosen {
+    /// Withdraws the request's selection for a version that is being rolled out, so that it is dispatched to
+    /// the established version. Returns whether it was selected.
+    pub fn deselect_from_rollout(&mut self, rollouts: &mut Rollouts) -> bool {
+        let was_selected = self.chosen.replace(false) == Some(true);
+        if was_selected {
             rollouts.release(&self.pool, &self.route);
         }
-        chosen
+        was_selected
     }
 
-    /// What it asks of a target.
+    /// Returns what the request requires of a target: one that runs the established version, with no slots
+    /// left to other tiers. Callers overwrite `lane` and `lowest` where that differs.
     pub fn demand<'a>(
         &self,
         now: Instant,
@@ -224,7 +234,7 @@
             pool,
             zone,
             draw: self.request.draw,
-            tokens: self.prompt(),
+            tokens: self.prompt_tokens(),
             output: self.request.expected.map_or(0.0, f64::from),
             left: self.until.saturating_duration_since(now),
             tried,
@@ -234,15 +244,16 @@
         }
     }
 
-    /// Its tokens, those of the answer as its caller expects them.
+    /// Returns the token counts of the request; those of the answer are the caller's expectation where it
+    /// stated one, else the maximum. Counts that the caller didn't state are 0.
     pub fn tokens(&self) -> Tokens {
         let tokens = self.request.tokens.unwrap_or_default();
         let output = self.request.expected.unwrap_or(tokens.output);
         Tokens { output, ..tokens }
     }
 
-    /// Tokens of its prompt; 0 where it has none.
-    pub fn prompt(&self) -> f64 {
+    /// Returns the number of prompt tokens; 0 where the caller didn't state it.
+    pub fn prompt_tokens(&self) -> f64 {
         self.request.tokens.map_or(0.0, |tokens| f64::from(tokens.prompt))
     }
 }
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -1,4 +1,7 @@
-//! Where requests wait, and which is dispatched when.
+//! Queues of waiting requests, their timers, and dispatch in queue order.
+//!
+//! There is one queue for each pool, of requests that wait for a slot, and one for each client account, of
+//! requests that wait for units of the account's quota.
 
 use std::time::Instant;
 
@@ -13,6 +16,7 @@
 };
 
 impl State {
+    /// Adds a request to the queue of its stage and sets its timer. Does nothing where the request has ended.
     pub(super) fn enqueue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
@@ -23,11 +27,12 @@
                 _ => self.waiting.entry(pending.pool.clone()).or_default(),
             };
             queue.insert(pending.order());
-            self.timers.insert((pending.wake(), ticket));
+            self.timers.insert((pending.next_timer(), ticket));
         }
     }
 
-    /// Lets a request's account decide over its place; `false` where it is to be refused.
+    /// Sorts a waiting request by its account's rank from now on. Returns `false` where the request has ended
+    /// or its wait is over, so that it must be refused.
     pub(super) fn promote(
         &mut self,
         now: Instant,
@@ -37,12 +42,13 @@
         self.dequeue(ticket);
         match self.requests.get_mut(&ticket) {
             Some(pending) if pending.give_up > now => {
-                let before = pending.order();
-                pending.promoted = true;
-                // What found no room at a version on trial still finds it at the other.
-                let tried = pending.unchoose(&mut self.rollouts);
-                // It is reserved anew in its new place.
-                if tried || pending.order().rank != before.rank {
+                let previous_order = pending.order();
+                pending.is_promoted = true;
+                // A request that found no slot at a version that is being rolled out may still find one at
+                // the established version.
+                let was_selected = pending.deselect_from_rollout(&mut self.rollouts);
+                // Its reservations carry the previous rank or version, so new ones are made.
+                if was_selected || pending.order().rank != previous_order.rank {
                     pending.withdraw(effects);
                 }
             }
@@ -52,6 +58,8 @@
         true
     }
 
+    /// Removes a request from its queue and cancels its timers. Does nothing where the request has ended or
+    /// isn't queued.
     pub(super) fn dequeue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
@@ -61,11 +69,13 @@
             if let Some(queue) = queue {
                 queue.remove(&pending.order());
             }
-            self.timers.remove(&(pending.wake(), ticket));
+            self.timers.remove(&(pending.next_timer(), ticket));
             self.timers.remove(&(pending.until, ticket));
         }
     }
 
+    /// Handles all timers that are due: frees a slot that was held for a move, promotes a request, ends its
+    /// search for another target, or refuses it.
     pub(super) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         while let Some(&(at, ticket)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, ticket));
@@ -87,51 +97,56 @@
         }
     }
 
-    /// Dispatches what waits, as far as there is room, and reserves room for the rest.
+    /// Dispatches waiting requests in queue order while slots are free, and reserves slots at agents for the
+    /// rest.
     pub(super) fn place(&mut self, now: Now, effects: &mut Vec<Effect>) {
         self.reserve_at = self.reserve_at.split_off(&now.steady);
-        let (rule, among, opened) = (self.settings.repeats, self.place.among, self.opened);
-        let alone = self.rollouts.any_active() && self.is_outnumbered(now.steady);
+        let (rule, processes, opened) = (self.settings.repeats, self.place.among, self.opened);
+        let hears_minority = self.rollouts.any_active() && self.is_outnumbered(now.steady);
         for (pool, queue) in &mut self.waiting {
             if queue.is_empty() {
                 continue;
             }
             let ways = self.capacity.ways(now.steady, pool);
-            let mut placed = Vec::new();
-            let (mut fits, mut lowest_fits) = (ways.rows, true);
+            let mut dequeued = Vec::new();
+            // Whether a request for the established version may still find a slot at a target without an
+            // agent, and whether one of the lowest tier may, which leaves slots to other tiers.
+            let (mut has_room, mut has_room_for_lowest) = (ways.rows, true);
             for order in queue.iter() {
                 let Some(pending) = self.requests.get_mut(&order.ticket) else {
-                    placed.push(*order);
+                    dequeued.push(*order);
                     continue;
                 };
                 if pending.charge == Charge::Due {
                     let budget = self.budgets.entry(pool.clone());
                     let budget = budget.or_insert_with(|| budget::open(opened));
-                    if !budget.repeat(now.steady, &rule, among) {
+                    if !budget.take_retry(now.steady, &rule, processes) {
                         continue;
                     }
                     pending.charge = Charge::Paid;
                 }
-                let lowest = self.lowest.get(pool) == Some(&pending.tier)
+                // The lowest tier leaves slots to the others where its requests hold theirs for longest.
+                let is_lowest = self.lowest.get(pool) == Some(&pending.tier)
                     && self.holds.is_longest(pool, pending.tier);
+                // Uniform from 0 up to but excluding 1.
                 let draw = (pending.request.draw >> 12) as f64 / (1_u64 << 52) as f64;
-                let chosen = *pending.chosen.get_or_insert_with(|| {
-                    let allowed = self.settings.exposure;
-                    let asked = (pool, pending.route.as_str());
-                    self.rollouts.choose(now.steady, asked, draw, allowed, alone)
+                let is_selected = *pending.chosen.get_or_insert_with(|| {
+                    let max_share = self.settings.exposure;
+                    let pool_route = (pool, pending.route.as_str());
+                    self.rollouts.choose(now.steady, pool_route, draw, max_share, hears_minority)
                 });
-                let lane = self.rollouts.lane(now.steady, pool, chosen);
+                let lane = self.rollouts.lane(now.steady, pool, is_selected);
                 let (tried, rejected) = (pending.tried.clone(), pending.rejected.clone());
                 let demand = Demand {
                     lane,
-                    lowest,
+                    lowest: is_lowest,
                     ..pending.demand(now.steady, pool, &self.settings.zone, (&tried, &rejected))
                 };
-                let open = fits || lane == Lane::Ordered;
-                if open && (!lowest || lowest_fits) {
+                let may_fit = has_room || lane == Lane::Ordered;
+                if may_fit && (!is_lowest || has_room_for_lowest) {
                     if let Some(slot) = self.capacity.take(now.steady, self.place, &demand) {
-                        placed.push(*order);
-                        self.timers.remove(&(pending.wake(), order.ticket));
+                        dequeued.push(*order);
+                        self.timers.remove(&(pending.next_timer(), order.ticket));
                         pending.withdraw(effects);
                         let rollouts = &mut self.rollouts;
                         let effect = dispatch(now.steady, pending, slot, None, rollouts);
@@ -141,29 +156,31 @@
                         effects.push(effect);
                         continue;
                     }
-                    // One that may not go everywhere doesn't hold up those that may.
+                    // Where a request that may use only some slots or targets finds none, the next request
+                    // may still find one.
                     if lane == Lane::Base {
-                        lowest_fits &= !lowest;
-                        fits = lowest || !pending.tried.is_empty();
+                        has_room_for_lowest &= !is_lowest;
+                        has_room = is_lowest || !pending.tried.is_empty();
                     }
                 }
-                // What waits at a target that is gone is given up too.
+                // This also withdraws reservations at targets that no longer take requests.
                 if ways.agents || !pending.reserved.is_empty() {
                     let next =
                         reserve::seek(&mut self.capacity, now.steady, &demand, pending, effects);
                     self.reserve_at.extend(next);
-                } else if !fits {
+                } else if !has_room {
                     break;
                 }
             }
-            for order in placed {
+            for order in dequeued {
                 queue.remove(&order);
             }
         }
     }
 }
 
-/// Uses room for a request: it goes there, at once or as soon as the target that has it is left.
+/// Assigns a slot to a request. Returns the effect that dispatches it or, where the request is still in
+/// flight at another target, the effect that ends that dispatch; the slot is held until it has ended.
 pub(super) fn dispatch(
     now: Instant,
     pending: &mut Pending,
@@ -177,11 +194,12 @@
             pending.stage = Stage::Moving(running, Held { slot, reservation });
             Effect::Leave { ticket: pending.request.ticket, target }
         }
-        _ => Effect::Start(start(now, pending, slot, reservation, rollouts)),
+        _ => Effect::Start(start_dispatch(now, pending, slot, reservation, rollouts)),
     }
 }
 
-pub(super) fn start(
+/// Marks a request as running in a slot and returns what is needed to send it to the slot's target.
+pub(super) fn start_dispatch(
     now: Instant,
     pending: &mut Pending,
     slot: Slot,
@@ -190,8 +208,8 @@
 ) -> Start {
     pending.dispatches += 1;
     pending.charge = Charge::Free;
-    // What is dispatched again goes to the version in use.
-    pending.unchoose(rollouts);
+    // The selection for a rollout is used up: any retry goes to the established version.
+    pending.deselect_from_rollout(rollouts);
     rollouts.dispatched(&pending.pool, &pending.route, slot.ordered);
     let silence = SILENT.max(slot.first * SILENT_TIMES);
     let start = Start {
@@ -201,9 +219,9 @@
         silence: pending.may_repeat(pending.tried.len() + 1).then_some(silence),
         account: pending.account.clone(),
         tier: pending.tier,
-        repeatable: pending.repeat != Repeat::Never,
+        repeatable: pending.retry_policy != Repeat::Never,
         until: pending.until,
-        stream: pending.stream,
+        stream: pending.is_stream,
         attempt: pending.dispatches,
     };
     pending.stage =
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of a dispatch, and how a request ends.
+//! Ends of dispatches and of requests: retries, refusals, and detection of request bodies that crash targets.
 
 use std::time::Instant;
 
@@ -13,25 +13,27 @@
     queue,
 };
 
-/// What follows the end of a dispatch.
-enum Next {
-    /// Nothing was decided before.
-    Open,
-    /// The request already waits for room at another target.
+/// State, at the end of a dispatch, of the request's search for another target.
+enum Search {
+    /// The request wasn't searching.
+    NotStarted,
+    /// The request waits for a slot at another target.
     Waiting,
-    /// Another target has room for it.
-    Held(Held),
+    /// A slot is held for the request at another target.
+    Found(Held),
 }
 
 impl State {
+    /// Handles the first event or the head of an answer: records the time that it took, and that the target
+    /// states no rate limit where the answer has none.
     pub(super) fn began(&mut self, now: Instant, ticket: Ticket, effects: &mut Vec<Effect>) {
         let Some(running) = self.running(ticket) else {
             return;
         };
-        let first = now.saturating_duration_since(running.since);
-        running.first = Some(first);
+        let time_to_first_event = now.saturating_duration_since(running.since);
+        running.first = Some(time_to_first_event);
         let Running { mut slot, since, limited, .. } = running.clone();
-        self.capacity.learn(&mut slot, first);
+        self.capacity.learn(&mut slot, time_to_first_event);
         if !limited {
             self.unlimited(now, &slot, since, effects);
         }
@@ -40,11 +42,13 @@
         }
     }
 
-    /// The dispatch of a request that hasn't ended.
+    /// Returns a request's dispatch that is in flight; `None` where the request has ended or is only queued.
     pub(super) fn running(&mut self, ticket: Ticket) -> Option<&mut Running> {
         self.requests.get_mut(&ticket)?.running_mut()
     }
 
+    /// Handles the end of a dispatch: frees its slot, records the outcome for the target, and ends, retries or
+    /// refuses the request. `events` counts the stream events of this dispatch.
     pub(super) fn ended(
         &mut self,
         now: Now,
@@ -58,10 +62,10 @@
             return;
         };
         let stage = std::mem::replace(&mut pending.stage, Stage::Waiting);
-        let (running, next) = match stage {
-            Stage::Running(running) => (running, Next::Open),
-            Stage::Seeking(running) => (running, Next::Waiting),
-            Stage::Moving(running, held) => (running, Next::Held(held)),
+        let (running, search) = match stage {
+            Stage::Running(running) => (running, Search::NotStarted),
+            Stage::Seeking(running) => (running, Search::Waiting),
+            Stage::Moving(running, held) => (running, Search::Found(held)),
             stage => {
                 pending.stage = stage;
                 return self.enqueue(ticket);
@@ -69,18 +73,18 @@
         };
         let target = running.slot.target.clone();
         pending.begun |= begun || events > 0;
-        pending.ran |= outcome.may_have_run();
-        pending.failed |= outcome == Outcome::Failed;
+        pending.may_have_run |= outcome.may_have_run();
+        pending.has_failed_answer |= outcome == Outcome::Failed;
         let (pool, tier) = (pending.pool.clone(), pending.tier);
         if outcome == Outcome::Done {
-            let held = now.steady.saturating_duration_since(running.since);
-            self.holds.learn(&pool, tier, held);
+            let hold_time = now.steady.saturating_duration_since(running.since);
+            self.holds.learn(&pool, tier, hold_time);
         }
         self.learn_version(now.steady, ticket, &running, (outcome, events));
         self.release(ticket, &running, effects);
-        self.learn_end(now.steady, ticket, &running.slot, outcome, effects);
+        self.record_outcome(now.steady, ticket, &running.slot, outcome, effects);
         if matches!(outcome, Outcome::Done | Outcome::Expired) {
-            if let Next::Held(held) = &next {
+            if let Search::Found(held) = &search {
                 self.release_held(ticket, held, effects);
             }
             if outcome == Outcome::Done {
@@ -90,23 +94,25 @@
             }
             return;
         }
-        if !matches!(next, Next::Open) {
-            return self.move_on(now.steady, ticket, outcome, next, effects);
+        if !matches!(search, Search::NotStarted) {
+            return self.continue_search(now.steady, ticket, outcome, search, effects);
         }
         match outcome {
-            Outcome::Rejected | Outcome::Replaced => self.again(now, ticket, true, effects),
-            Outcome::Unreached => self.again(now, ticket, false, effects),
+            Outcome::Rejected | Outcome::Replaced => {
+                self.requeue_unexecuted(now, ticket, true, effects);
+            }
+            Outcome::Unreached => self.requeue_unexecuted(now, ticket, false, effects),
             _ => {
                 if outcome == Outcome::Silent {
                     self.capacity.mark_down(now.steady, &target, running.slot.incarnation);
                 }
-                self.repeat(now, ticket, target, effects);
+                self.retry_executed(now, ticket, target, effects);
             }
         }
     }
 
-    /// What the end of a dispatch says of its target.
-    fn learn_end(
+    /// Updates what is known of a target from the outcome of a dispatch to it.
+    fn record_outcome(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -114,12 +120,12 @@
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let failed = matches!(
+        let is_failure = matches!(
             outcome,
             Outcome::Failed | Outcome::Lost { .. } | Outcome::Rejected | Outcome::Silent
         );
-        if failed || outcome == Outcome::Done {
-            self.capacity.judge(slot, failed);
+        if is_failure || outcome == Outcome::Done {
+            self.capacity.judge(slot, is_failure);
         }
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
@@ -150,73 +156,78 @@
         }
     }
 
-    /// Goes on with a request whose dispatch ended while it looked for another target, or had one.
-    fn move_on(
+    /// Continues a request whose dispatch ended while the request waited for a slot at another target or had
+    /// one: dispatches it there, queues it again, or refuses it.
+    fn continue_search(
         &mut self,
         now: Instant,
         ticket: Ticket,
         outcome: Outcome,
-        next: Next,
+        search: Search,
         effects: &mut Vec<Effect>,
     ) {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let ran = outcome.may_have_run();
-        if !ran {
+        let may_have_run = outcome.may_have_run();
+        if !may_have_run {
             pending.tried.pop();
         }
         if !pending.begun {
             pending.give_up = pending.until.min(now + REPEAT_WAIT);
         }
-        // Its answer may have begun since it looked for another target.
+        // The answer may have begun after the search was started, which rules out retries of some routes.
         let allowed = pending.may_repeat(pending.tried.len());
         let body = pending.request.fingerprint;
         let allowed = allowed && !self.is_quarantined(&body);
-        // The other target may have left the list since it had room.
-        let held = match next {
-            Next::Held(held) if allowed && self.capacity.is_open(now, &held.slot) => Some(held),
-            Next::Held(held) => {
+        // The other target may have stopped taking requests since the slot was taken.
+        let held = match search {
+            Search::Found(held) if allowed && self.capacity.is_open(now, &held.slot) => Some(held),
+            Search::Found(held) => {
                 self.release_held(ticket, &held, effects);
                 None
             }
-            Next::Open | Next::Waiting => None,
+            Search::NotStarted | Search::Waiting => None,
         };
         if !allowed {
-            let reason = if ran { Reason::Lost } else { Reason::Unserved };
-            return self.refuse(now, ticket, reason, ran, effects);
+            let reason = if may_have_run { Reason::Lost } else { Reason::Unserved };
+            return self.refuse(now, ticket, reason, may_have_run, effects);
         }
         match (held, self.requests.get_mut(&ticket)) {
             (Some(Held { slot, reservation }), Some(pending)) => {
-                let start = queue::start(now, pending, slot, reservation, &mut self.rollouts);
+                let start =
+                    queue::start_dispatch(now, pending, slot, reservation, &mut self.rollouts);
                 effects.push(Effect::Start(start));
             }
             _ => self.enqueue(ticket),
         }
     }
 
-    /// Puts a request back that this target did not run.
-    pub(super) fn again(
+    /// Queues a request again that its target provably didn't run. `was_delivered` is `true` where the target,
+    /// or another one at its address, received the request; that takes a retry from the budget, and the
+    /// request is refused where none is left. An interrupted answer stays queued until one is available.
+    pub(super) fn requeue_unexecuted(
         &mut self,
         now: Now,
         ticket: Ticket,
-        arrived: bool,
+        was_delivered: bool,
         effects: &mut Vec<Effect>,
     ) {
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
         let pool = pending.pool.clone();
-        if arrived && pending.begun {
+        if was_delivered && pending.begun {
             pending.charge = Charge::Due;
-        } else if arrived && !self.pay(now.steady, &pool) {
+        } else if was_delivered && !self.take_retry(now.steady, &pool) {
             return self.refuse(now.steady, ticket, Reason::Unserved, false, effects);
         }
         self.enqueue(ticket);
     }
 
-    /// Dispatches a request again that may have run, where that is allowed.
-    pub(super) fn repeat(
+    /// Queues a request again that its target may have run, where its route, its attempts, the quarantine and
+    /// the retry budget allow that; else refuses it.
+    pub(super) fn retry_executed(
         &mut self,
         now: Now,
         ticket: Ticket,
@@ -230,9 +241,9 @@
         let allowed = pending.may_repeat(pending.tried.len());
         let (pool, body) = (pending.pool.clone(), pending.request.fingerprint);
         let begun = pending.begun;
-        let harmless = !self.is_quarantined(&body);
-        // The rest of an answer that has begun is owed for as long as its caller waits.
-        if allowed && harmless && (begun || self.pay(now.steady, &pool)) {
+        let is_harmless = !self.is_quarantined(&body);
+        // An interrupted answer waits for a retry and a slot until the caller's deadline.
+        if allowed && is_harmless && (begun || self.take_retry(now.steady, &pool)) {
             if let Some(pending) = self.requests.get_mut(&ticket) {
                 let wait = now.steady + REPEAT_WAIT;
                 pending.charge = if begun { Charge::Due } else { Charge::Paid };
@@ -243,24 +254,25 @@
         self.refuse(now.steady, ticket, Reason::Lost, true, effects);
     }
 
-    /// Counts a request for the repeats that its pool may get.
-    pub(super) fn earn(&mut self, now: Instant, pool: &PoolName) {
-        let (rule, among) = (self.settings.repeats, self.place.among);
-        self.budget(pool).asked(now, &rule, among);
+    /// Counts an admitted request, which adds a fraction of a retry to the budget of its pool.
+    pub(super) fn count_for_retry_budget(&mut self, now: Instant, pool: &PoolName) {
+        let (rule, processes) = (self.settings.repeats, self.place.among);
+        self.budget(pool).count_request(now, &rule, processes);
     }
 
-    /// Takes a repeat for a pool; `false` where none is left.
-    pub(super) fn pay(&mut self, now: Instant, pool: &PoolName) -> bool {
-        let (rule, among) = (self.settings.repeats, self.place.among);
-        self.budget(pool).repeat(now, &rule, among)
+    /// Takes one retry from the budget of a pool. Returns `false` where none is left.
+    pub(super) fn take_retry(&mut self, now: Instant, pool: &PoolName) -> bool {
+        let (rule, processes) = (self.settings.repeats, self.place.among);
+        self.budget(pool).take_retry(now, &rule, processes)
     }
 
+    /// Returns the retry budget of a pool; a new one holds no retries.
     fn budget(&mut self, pool: &PoolName) -> &mut Budget {
         let opened = self.opened;
         self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(opened))
     }
 
-    /// Asks whether a target still takes connections, one question at a time.
+    /// Starts a probe of whether a target takes connections, unless one is in progress.
     pub(super) fn probe(&mut self, target: &TargetName, effects: &mut Vec<Effect>) {
         if let Some(state) = self.capacity.state(target)
             && !self.probing.contains_key(target)
@@ -271,7 +283,7 @@
         }
     }
 
-    /// A target was asked whether it takes connections.
+    /// Handles the result of a probe; `reached` is `true` where the target took the connection.
     pub(super) fn probed(
         &mut self,
         now: Instant,
@@ -290,7 +302,10 @@
         self.count_crashes(now, target, false, effects);
     }
 
-    /// A target takes no connection, or started again: what broke off there just before ran when it died.
+    /// Counts a crash for each request body whose connection to a target broke shortly before the target was
+    /// found unreachable or, with `restarted`, to have started again: the target crashed while it ran that
+    /// body. Bodies that reach the limit of crashes are quarantined. Connections that broke before a
+    /// successful probe of the target count only for a restart.
     pub(super) fn count_crashes(
         &mut self,
         now: Instant,
@@ -299,26 +314,30 @@
         effects: &mut Vec<Effect>,
     ) {
         self.lost.retain(|loss| now.duration_since(loss.at) < CRASH_WINDOW);
-        let ran = |loss: &Loss| loss.target == target && (restarted || !loss.reached);
-        let (died, rest) = std::mem::take(&mut self.lost).into_iter().partition(ran);
+        let is_crash = |loss: &Loss| loss.target == target && (restarted || !loss.reached);
+        let (crashes, rest) = std::mem::take(&mut self.lost).into_iter().partition(is_crash);
         self.lost = rest;
-        let died: Vec<Loss> = died;
-        if !died.is_empty() {
-            let (target, bodies) = (target.to_owned(), died.len() as u32);
+        let crashes: Vec<Loss> = crashes;
+        if !crashes.is_empty() {
+            let (target, bodies) = (target.to_owned(), crashes.len() as u32);
             effects.push(Effect::Note(Note::Crashed { target, bodies }));
         }
-        for loss in died {
-            let own = (self.settings.address, self.settings.incarnation);
-            if self.crashes.add(now, loss.body, own) == CRASHES {
+        for loss in crashes {
+            let own_process = (self.settings.address, self.settings.incarnation);
+            if self.crashes.add(now, loss.body, own_process) == CRASHES {
                 effects.push(Effect::Note(Note::Quarantined(loss.body)));
             }
         }
     }
 
+    /// Returns whether requests with this body are refused, since it reached the limit of crashes.
     pub(super) fn is_quarantined(&self, body: &Fingerprint) -> bool {
         self.crashes.times(body) >= CRASHES
     }
 
+    /// Ends a request without a whole answer: refuses it or, where a target answered with a failure and the
+    /// caller got nothing yet, passes that failure on. `ran` is `true` where the last target may have run
+    /// it. Callers whose request provably didn't run get a time after which they may retry.
     pub(super) fn refuse(
         &mut self,
         now: Instant,
@@ -331,42 +350,45 @@
         let Some(pending) = self.remove(ticket, effects) else {
             return;
         };
-        if pending.failed && !pending.begun {
+        if pending.has_failed_answer && !pending.begun {
             return effects.push(Effect::Pass { ticket });
         }
-        let not_run = !ran && !pending.ran;
+        let not_run = !ran && !pending.may_have_run;
         let reason = match (reason, not_run) {
             (Reason::Late | Reason::NoRoom | Reason::Unserved, false) => Reason::Lost,
             _ => reason,
         };
         let left = pending.until.saturating_duration_since(now);
-        let wait = left.mul_f64(RETRY_PART).min(RETRY_MAX);
-        let refusal = Refusal { reason, not_run, retry_after: not_run.then_some(wait), lack: None };
+        let retry_after = not_run.then_some(left.mul_f64(RETRY_PART).min(RETRY_MAX));
+        let refusal = Refusal { reason, not_run, retry_after, lack: None };
         effects.push(Effect::Refuse { ticket, refusal, grounds });
     }
 
+    /// Ends a request and frees all that it holds: queue entry, reservations, slots, an unused retry and,
+    /// where it provably didn't run, its quota units. Returns `None` where the request had ended before.
     pub(super) fn remove(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> Option<Pending> {
         self.dequeue(ticket);
         self.refund(ticket);
         let mut pending = self.requests.remove(&ticket)?;
         pending.withdraw(effects);
-        pending.unchoose(&mut self.rollouts);
+        pending.deselect_from_rollout(&mut self.rollouts);
         if let Some(running) = pending.running() {
             self.release(ticket, running, effects);
         }
         if let Stage::Moving(_, held) = &pending.stage {
             self.release_held(ticket, held, effects);
         }
-        if !pending.ran && matches!(pending.stage, Stage::Waiting) {
-            self.give_back(&pending);
+        if !pending.may_have_run && matches!(pending.stage, Stage::Waiting) {
+            self.return_units(&pending);
         }
         Some(pending)
     }
 
-    pub(super) fn give_back(&mut self, pending: &Pending) {
-        let usage = pending.account.as_ref().and_then(|name| self.accounts.get_mut(name));
-        if let Some(usage) = usage {
-            usage.give_back(pending.units);
+    /// Returns the units of a request that didn't run to its account's quota.
+    pub(super) fn return_units(&mut self, pending: &Pending) {
+        let allowance = pending.account.as_ref().and_then(|name| self.accounts.get_mut(name));
+        if let Some(allowance) = allowance {
+            allowance.give_back(pending.units);
         }
     }
 }
