--- a/components/scheduler/src/direct/budget.rs
+++ b/components/scheduler/src/direct/budget.rs
@@ -2,8 +2,8 @@
 //!
 //! Over a window of time, all processes together may retry a fraction of the requests of callers, plus a
 //! fixed number of retries. Each process adds to its budget a fraction of a retry for each request that it
-//! admits, and an equal share of the fixed number over the window. The budget of a started process is empty:
-//! otherwise, processes that are killed and restarted over and over would together exceed the limit.
+//! admits and, as time passes, a part of its equal share of the fixed number. The budget of a started process
+//! is empty: otherwise, processes that are killed and restarted over and over would exceed the limit.
 
 use std::{
     collections::VecDeque,
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -18,7 +18,7 @@
 /// Sort key of a queued request; the lowest key of a queue is dispatched first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Order {
-    /// Ranks of account and tier, compared from left to right; 0 is the highest. See [`Pending::order`].
+    /// Ranks of account and tier, compared from left to right; 0 is the highest.
     pub rank: [u32; 3],
     /// Arrival time of the request; of equal ranks the oldest request goes first.
     pub arrived: Instant,
@@ -112,7 +112,8 @@
     pub lowest_account_rank: u32,
     /// Rank of the route's tier; 0 is the highest.
     pub tier: u32,
-    /// Time from which the account's rank takes precedence over the tier in the queue; at most `give_up`.
+    /// Time from which the account's rank takes precedence over the tier in the queue; not later than the
+    /// end of the wait.
     pub promote: Instant,
     /// Whether the account's rank already takes precedence.
     pub is_promoted: bool,
@@ -120,10 +121,11 @@
     pub arrived: Instant,
     /// Deadline for the end of the answer.
     pub until: Instant,
-    /// Time at which the request is refused if it still waits for a slot; at most `until`.
+    /// Time at which the request is refused if it still waits for a slot; not later than the deadline for the
+    /// end of the answer.
     pub give_up: Instant,
-    /// Units that the request takes from its account's quota; they have been taken in every stage except
-    /// [`Stage::Limited`]. 0 where the account has no limit.
+    /// Units that the request takes from its account's quota, once it no longer waits for them; 0 where the
+    /// account has no limit.
     pub units: f64,
     /// Whether the request may be dispatched again after a target may have run it.
     pub retry_policy: Repeat,
@@ -152,7 +154,7 @@
     /// Time from which the request may be reserved at one more agent.
     pub next_reservation: Instant,
     /// Whether the request was selected for a version that is being rolled out; `None` before it was first
-    /// considered for a slot.
+    /// considered for a slot, `Some(false)` again once it was dispatched.
     pub chosen: Option<bool>,
     /// Current stage of the request.
     pub stage: Stage,
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -47,7 +47,7 @@
                 // A request that found no slot at a version that is being rolled out may still find one at
                 // the established version.
                 let was_selected = pending.deselect_from_rollout(&mut self.rollouts);
-                // Its reservations carry the previous rank or version, so new ones are made.
+                // Reservations carry the rank and the version of the request, so new ones are made.
                 if was_selected || pending.order().rank != previous_order.rank {
                     pending.withdraw(effects);
                 }
@@ -100,6 +100,7 @@
     /// Dispatches waiting requests in queue order while slots are free, and reserves slots at agents for the
     /// rest.
     pub(super) fn place(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        // Drops the times that have passed; requests that still wait add new ones below.
         self.reserve_at = self.reserve_at.split_off(&now.steady);
         let (rule, processes, opened) = (self.settings.repeats, self.place.among, self.opened);
         let hears_minority = self.rollouts.any_active() && self.is_outnumbered(now.steady);
--- a/components/scheduler/tests/direct_repeats.rs
+++ b/components/scheduler/tests/direct_repeats.rs
@@ -61,12 +61,12 @@
 /// killed repeatedly exceed the limit together.
 #[test_case(SMALL, Fault::Nothing; "no kills")]
 #[test_case(SMALL, Fault::AllKilled; "all processes killed repeatedly")]
-#[test_case(SMALL, Fault::EntriesKilled; "processes killed one after the other")]
+#[test_case(SMALL, Fault::EntriesKilled; "processes killed in turn")]
 #[test_case(FEW_ENTRIES, Fault::AllKilled; "few processes all killed repeatedly")]
 #[test_case(PLAIN_SERVICE, Fault::AllKilled; "plain services and all processes killed repeatedly")]
-#[test_case(PLAIN_SERVICE, Fault::EntriesKilled; "plain services and processes killed one after the other")]
+#[test_case(PLAIN_SERVICE, Fault::EntriesKilled; "plain services and processes killed in turn")]
 #[test_case(LARGE, Fault::AllKilled; "many processes all killed repeatedly")]
-#[test_case(LARGE, Fault::EntriesKilled; "many processes killed one after the other")]
+#[test_case(LARGE, Fault::EntriesKilled; "many processes killed in turn")]
 fn retries_of_all_processes_stay_within_the_common_budget(site: Site, fault: Fault) {
     let world = simulate(site, fault);
 
--- a/components/scheduler/tests/direct_silent.rs
+++ b/components/scheduler/tests/direct_silent.rs
@@ -222,7 +222,7 @@
 }
 
 /// Guards against slots that agents keep for a request that stays at its target.
-#[test_case(|entry: &mut Process| entry.send(Event::Spoke { ticket: 1 }); "its target sends data again")]
+#[test_case(|entry: &mut Process| entry.send(Event::Spoke { ticket: 1 }); "its target sends data")]
 #[test_case(|entry: &mut Process| entry.pass(Duration::from_secs(5)); "its deadline has passed")]
 fn a_request_that_stays_at_its_target_withdraws_its_reservations(
     stay: fn(&mut Process) -> Vec<Effect>,
