--- a/components/scheduler/src/direct/crashes.rs
+++ b/components/scheduler/src/direct/crashes.rs
@@ -1,7 +1,8 @@
-//! Bodies that ran when targets crashed, and how often, as all entry processes counted.
+//! Counts of the target crashes that each request body was part of, over all entry processes.
 //!
-//! Each process keeps what it counted and what it heard, so that a count outlives the process that
-//! made it. With each exchange only a digest of it is told: whoever has another one fetches the counts.
+//! Each process keeps its own counts and those that it fetched from others, so that a count outlives the
+//! process that made it. Each exchange carries only a digest of all counts; a process with a different
+//! digest fetches the counts.
 
 use std::{
     collections::BTreeMap,
@@ -15,124 +16,132 @@
 
 use super::HASHER;
 
-/// Most bodies that are remembered.
-const KEPT: usize = 1_000;
-/// Time for which a count is remembered after it last grew.
-const LIFE: Duration = Duration::from_secs(600);
+/// Maximum number of bodies whose counts are kept; one more evicts the body whose last crash is oldest.
+const MAX_BODIES: usize = 1_000;
+/// Time after the last crash of a count at which the count expires.
+const COUNT_LIFETIME: Duration = Duration::from_secs(600);
 
-/// A process that counted: where it listens, and its start.
-pub type Witness = (SocketAddr, u64);
+/// Process that counts crashes: the address on which it listens for other entry processes, and its
+/// incarnation.
+pub type Observer = (SocketAddr, u64);
 
-/// How often a process saw a body crash a target.
+/// Number of crashes that one process counted for a body, as processes send it to each other.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Count {
-    /// The body.
+pub struct CrashCount {
+    /// Fingerprint of the request whose body ran when targets crashed.
     pub body: Fingerprint,
-    /// Who counted.
-    pub by: Witness,
-    /// How often.
-    pub times: u32,
-    /// Time since it last grew.
+    /// Process that counted the crashes.
+    pub observer: Observer,
+    /// Number of crashes that the process counted.
+    pub crashes: u32,
+    /// Time since the last of these crashes.
     pub age: Duration,
 }
 
+/// Crashes that one process counted for one body.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    times: u32,
-    last: Instant,
+struct Tally {
+    crashes: u32,
+    last_crash: Instant,
 }
 
-/// All counts that are known.
+/// All known crash counts.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
-    counts: BTreeMap<Fingerprint, BTreeMap<Witness, Seen>>,
-    /// Of all counts, in whatever order they were heard; 0 where there are none.
+    counts: BTreeMap<Fingerprint, BTreeMap<Observer, Tally>>,
+    /// Hash of all counts that doesn't depend on their order; 0 where there are none.
     digest: u64,
-    /// No count's life is over before.
-    lapse: Option<Instant>,
+    /// Time before which no count expires; `None` where there are none.
+    earliest_expiry: Option<Instant>,
 }
 
 impl Crashes {
-    /// Counts a crash; gives how often the body crashed targets.
-    pub fn add(&mut self, now: Instant, body: Fingerprint, by: Witness) -> u32 {
-        let known = self.counts.get(&body).and_then(|counts| counts.get(&by));
-        let times = known.map_or(0, |seen| seen.times) + 1;
-        self.set(body, by, Seen { times, last: now });
+    /// Counts a crash that `observer` saw; returns the body's crashes over all processes.
+    pub fn add(&mut self, now: Instant, body: Fingerprint, observer: Observer) -> u32 {
+        let known = self.counts.get(&body).and_then(|counts| counts.get(&observer));
+        let crashes = known.map_or(0, |tally| tally.crashes) + 1;
+        self.set(body, observer, Tally { crashes, last_crash: now });
         self.times(&body)
     }
 
-    /// Hears what a process counted; counts only grow.
-    pub fn hear(&mut self, now: Instant, count: &Count) {
-        let Some(last) = now.checked_sub(count.age).filter(|_| count.age < LIFE) else {
+    /// Stores a count that another process sent, unless it has expired or one that is as high is known.
+    pub fn hear(&mut self, now: Instant, count: &CrashCount) {
+        let Some(last_crash) = now.checked_sub(count.age).filter(|_| count.age < COUNT_LIFETIME)
+        else {
             return;
         };
-        let known = self.counts.get(&count.body).and_then(|counts| counts.get(&count.by));
-        if known.is_none_or(|seen| seen.times < count.times) {
-            self.set(count.body, count.by, Seen { times: count.times, last });
+        let known = self.counts.get(&count.body).and_then(|counts| counts.get(&count.observer));
+        if known.is_none_or(|tally| tally.crashes < count.crashes) {
+            self.set(count.body, count.observer, Tally { crashes: count.crashes, last_crash });
         }
     }
 
-    /// Forgets counts whose life is over.
+    /// Removes expired counts.
     pub fn forget(&mut self, now: Instant) {
-        if self.lapse.is_none_or(|lapse| now < lapse) {
+        if self.earliest_expiry.is_none_or(|expiry| now < expiry) {
             return;
         }
         let counts = std::mem::take(self).counts;
         for (body, counts) in counts {
-            for (by, seen) in counts.into_iter().filter(|(_, seen)| now < seen.last + LIFE) {
-                self.set(body, by, seen);
+            let is_live = |tally: &Tally| now < tally.last_crash + COUNT_LIFETIME;
+            for (observer, tally) in counts.into_iter().filter(|(_, tally)| is_live(tally)) {
+                self.set(body, observer, tally);
             }
         }
     }
 
-    /// How often a body crashed targets.
+    /// Returns the number of target crashes that a body was part of, over all processes.
     pub fn times(&self, body: &Fingerprint) -> u32 {
-        self.counts.get(body).map_or(0, |counts| counts.values().map(|seen| seen.times).sum())
+        self.counts.get(body).map_or(0, |counts| counts.values().map(|tally| tally.crashes).sum())
     }
 
-    /// The same in processes that know the same counts; 0 where there are none.
+    /// Returns a digest of all counts, which is the same in processes that have the same counts; 0 where
+    /// there are none.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All counts, for others.
-    pub fn counts(&self, now: Instant) -> Vec<Count> {
-        let all = self
-            .counts
-            .iter()
-            .flat_map(|(&body, counts)| counts.iter().map(move |(&by, seen)| (body, by, seen)));
-        let told = all.map(|(body, by, seen)| {
-            let age = now.saturating_duration_since(seen.last);
-            Count { body, by, times: seen.times, age }
+    /// Returns all counts in the form in which they are sent to other processes.
+    pub fn counts(&self, now: Instant) -> Vec<CrashCount> {
+        let tallies = self.counts.iter().flat_map(|(&body, counts)| {
+            counts.iter().map(move |(&observer, tally)| (body, observer, tally))
         });
-        told.collect()
+        let counts = tallies.map(|(body, observer, tally)| {
+            let age = now.saturating_duration_since(tally.last_crash);
+            CrashCount { body, observer, crashes: tally.crashes, age }
+        });
+        counts.collect()
     }
 
-    fn set(&mut self, body: Fingerprint, by: Witness, seen: Seen) {
-        if !self.counts.contains_key(&body) && self.counts.len() >= KEPT {
-            self.forget_oldest();
+    /// Adds or replaces a count; evicts another body where there are too many.
+    fn set(&mut self, body: Fingerprint, observer: Observer, tally: Tally) {
+        if !self.counts.contains_key(&body) && self.counts.len() >= MAX_BODIES {
+            self.evict_oldest();
         }
-        if let Some(before) = self.counts.entry(body).or_default().insert(by, seen) {
-            self.mark(body, by, before);
+        if let Some(replaced) = self.counts.entry(body).or_default().insert(observer, tally) {
+            self.toggle_in_digest(body, observer, replaced);
         }
-        self.mark(body, by, seen);
-        let lapse = seen.last + LIFE;
-        self.lapse = Some(self.lapse.map_or(lapse, |known| known.min(lapse)));
+        self.toggle_in_digest(body, observer, tally);
+        let expiry = tally.last_crash + COUNT_LIFETIME;
+        self.earliest_expiry = Some(self.earliest_expiry.map_or(expiry, |known| known.min(expiry)));
     }
 
-    fn forget_oldest(&mut self) {
-        let last = |counts: &BTreeMap<Witness, Seen>| counts.values().map(|seen| seen.last).max();
-        let oldest = self.counts.iter().min_by_key(|(_, counts)| last(counts));
+    /// Removes the body whose last crash is oldest.
+    fn evict_oldest(&mut self) {
+        let last_crash = |counts: &BTreeMap<Observer, Tally>| {
+            counts.values().map(|tally| tally.last_crash).max()
+        };
+        let oldest = self.counts.iter().min_by_key(|(_, counts)| last_crash(counts));
         let Some(body) = oldest.map(|(&body, _)| body) else {
             return;
         };
-        for (by, seen) in self.counts.remove(&body).unwrap_or_default() {
-            self.mark(body, by, seen);
+        for (observer, tally) in self.counts.remove(&body).unwrap_or_default() {
+            self.toggle_in_digest(body, observer, tally);
         }
     }
 
-    /// Takes a count into the digest, or out of it.
-    fn mark(&mut self, body: Fingerprint, by: Witness, seen: Seen) {
-        self.digest ^= HASHER.hash_one((body, by, seen.times));
+    /// Adds a count to the digest, or removes it where the digest contains it.
+    fn toggle_in_digest(&mut self, body: Fingerprint, observer: Observer, tally: Tally) {
+        self.digest ^= HASHER.hash_one((body, observer, tally.crashes));
     }
 }
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -1,4 +1,7 @@
-//! What entry processes tell each other of themselves.
+//! State that entry processes exchange about themselves, one row for each process.
+//!
+//! A row is *current* while it is younger than ten exchange periods. A process is *active* while it
+//! isn't leaving and was seen recently, by a row or by a change of its stamp at the platform's service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,137 +21,150 @@
     rollout::Share,
 };
 
-/// Shortest period of the exchange of rows.
-const PERIOD: Duration = Duration::from_millis(50);
-/// Time of the period for each other process: a process takes part in 100 exchanges a second at most,
-/// which cost it under a hundredth of a core.
-const PERIOD_EACH: Duration = Duration::from_millis(10);
-/// Exchanges between two after which all rows are told, not just the own one.
-const FULL: u64 = 20;
-/// Periods after which a row doesn't count as known any more.
-const KNOWN: u32 = 10;
-
-/// Period of the exchange of rows with so many other processes.
+/// Shortest time between two exchanges of rows with the same process.
+const MIN_EXCHANGE_PERIOD: Duration = Duration::from_millis(50);
+/// Part of the exchange period for each other process: it limits a process to 100 exchanges a second,
+/// which take under a hundredth of a core.
+const EXCHANGE_PERIOD_PER_PEER: Duration = Duration::from_millis(10);
+/// Number of exchanges with the same process of which one sends all rows; the others send only the
+/// sender's own row.
+const EXCHANGES_PER_FULL_EXCHANGE: u64 = 20;
+/// Age, in exchange periods, from which on a row is stale.
+const STALE_ROW_PERIODS: u32 = 10;
+
+/// Returns the time between two exchanges of rows with the same process, where `others` processes are
+/// known besides this one.
 pub fn period(others: usize) -> Duration {
-    PERIOD.max(PERIOD_EACH * u32::try_from(others).unwrap_or(u32::MAX))
+    MIN_EXCHANGE_PERIOD.max(EXCHANGE_PERIOD_PER_PEER * u32::try_from(others).unwrap_or(u32::MAX))
 }
 
-/// Whether the process in place `own` tells all rows in an exchange to the one in place `other` among
-/// those it knows. No more than one in 20 is told, and tells the same one, in the same exchange, rounded up:
-/// processes that start together count their exchanges alike, and all rows of all to one process would
-/// fill its link for longer than an exchange may take.
+/// Returns whether a process sends all rows, not just its own, in the exchange with this number.
+///
+/// `own` and `other` are the indexes of the sender and of the receiver among the addresses that the
+/// sender knows. In one exchange a process sends all rows to at most one in 20 of the others, rounded
+/// up, and receives all rows from at most as many. Processes that start together number their
+/// exchanges alike: if all of them sent all rows to one process, they would fill its link for longer
+/// than the timeout of an exchange.
 pub fn tells_all(exchange: u64, own: usize, other: usize) -> bool {
-    (exchange + own as u64 + other as u64).is_multiple_of(FULL)
+    (exchange + own as u64 + other as u64).is_multiple_of(EXCHANGES_PER_FULL_EXCHANGE)
 }
 
-/// What one entry process has at a target.
+/// Load that one entry process puts on a target.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Busy {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its start, as the process knows it.
+    /// Incarnation of the target to which the requests were dispatched.
     #[serde(default)]
     pub incarnation: Incarnation,
-    /// Requests.
+    /// Requests of the process that are in flight at the target.
     pub requests: u32,
-    /// Tokens of the prompts whose answers haven't begun.
+    /// Prompt tokens of those requests whose answers haven't begun.
     pub unread: u32,
 }
 
-/// What one entry process last heard of a target's rate limit.
+/// Rate limit of a target, as one entry process last learnt it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limited {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its start, as the process knows it.
+    /// Incarnation of the target that stated the limit.
     pub incarnation: Incarnation,
-    /// What it named, and how long before the row was made.
+    /// The limit, with its age at the time when the row was made.
     pub limit: Limit,
 }
 
-/// What one entry process knows of an account's use.
+/// Use of an account's limit, as one entry process knows it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Use {
-    /// The account.
+    /// Name of the account.
     pub account: AccountName,
-    /// Units that the process let through since its start.
+    /// Units that the process admitted since its start.
     pub spent: u64,
-    /// Units that it holds to be left for all processes.
+    /// Units that are left for all processes together, by the process's own count; negative where the
+    /// limit was exceeded.
     pub left: i64,
 }
 
-/// What one entry process says of itself.
+/// State that one entry process publishes about itself; other processes pass it on unchanged but for
+/// its age.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Row {
-    /// Where it listens for the others.
+    /// Address on which the process listens for other entry processes; a row without one is ignored.
     pub address: Option<SocketAddr>,
-    /// Differs with each start of the process.
+    /// Number that differs with each start of the process.
     pub incarnation: u64,
-    /// Grows with each row of an incarnation.
+    /// Number that grows with each row of an incarnation.
     pub sequence: u64,
-    /// Time since it was made, as far as it was seen to pass.
+    /// Time since the row was made, without the time that it spent in transit.
     pub age: Duration,
-    /// Whether it takes no more requests.
+    /// Whether the process is draining and its last request has ended.
     pub leaving: bool,
-    /// Processes that it hears, in the order of their addresses.
+    /// Addresses of the processes whose rows are current at this process and that aren't leaving,
+    /// sorted.
     pub hears: Vec<SocketAddr>,
-    /// Time since its process started.
+    /// Time since the process started.
     pub uptime: Duration,
-    /// What it knows of each account's use.
+    /// Use of each account's limit, as the process knows it.
     pub accounts: Vec<Use>,
-    /// What it has at each target.
+    /// Load that the process puts on each target.
     pub running: Vec<Busy>,
-    /// What it last heard of the limits of targets that ever named one.
+    /// Rate limits, as the process last learnt them, of the targets that ever stated one.
     #[serde(default)]
     pub limits: Vec<Limited>,
-    /// What it knows of each roll-out.
+    /// State of each roll-out, as the process knows it.
     pub rollouts: Vec<Share>,
 }
 
+/// Another entry process.
 #[derive(Clone, Debug)]
 struct Peer {
+    /// The newest row of the process; empty but for the address before the first one is received.
     row: Row,
-    /// When the row was made, by the clock of this process; `None` where it was only heard of.
-    made: Option<Instant>,
-    /// What it last wrote to the platform's service.
+    /// When the row was made, by the clock of this process; `None` before the first row is received.
+    row_made: Option<Instant>,
+    /// Last known stamp of the process at the platform's service, which changes each time the process
+    /// registers there; 0 where no registration is known.
     stamp: u64,
-    /// When this process saw that change.
-    introduced: Instant,
+    /// When this process first learnt of the peer or last saw its stamp change.
+    stamp_seen: Instant,
 }
 
-/// All other entry processes that are known.
+/// All other known entry processes, by address.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
-/// What a row tells of an account.
+/// Change of an account's use that follows from a row of another process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Told {
-    /// Units that another process let through since its last row.
+    /// Units that the other process admitted since its last row.
     Spent(AccountName, u64),
-    /// Units that a process has left which started earlier and is heard for the first time.
+    /// Units that are left by the count of the other process, which started earlier than this one and
+    /// whose first row this is.
     Left(AccountName, i64),
 }
 
 impl Peers {
-    /// Hears that there may be a process at an address. One whose stamp changes is alive, and may
-    /// take requests even if it isn't heard.
+    /// Adds a process that the platform's service lists, or updates its stamp. A process whose stamp
+    /// changes is alive and may take requests, even if none of its rows arrive here.
     pub fn introduce(&mut self, now: Instant, introduction: Introduction) {
         let Introduction { address, stamp } = introduction;
         let peer = self.peers.entry(address).or_insert_with(|| Peer {
             row: Row { address: Some(address), ..Row::default() },
-            made: None,
+            row_made: None,
             stamp,
-            introduced: now,
+            stamp_seen: now,
         });
         if stamp != 0 && peer.stamp != stamp {
             peer.stamp = stamp;
-            peer.introduced = now;
+            peer.stamp_seen = now;
         }
     }
 
-    /// Takes a row in; gives what it tells of accounts to a process that runs for `uptime`.
+    /// Stores a row, unless a newer one of its process is known; returns the changes of accounts' use
+    /// that follow from it. `uptime` is the time since this process started.
     pub fn hear(&mut self, now: Instant, uptime: Duration, mut row: Row) -> Vec<Told> {
         row.hears.sort_unstable();
         let Some(address) = row.address else {
@@ -160,117 +176,123 @@
         };
         let made = now.checked_sub(row.age).unwrap_or(now);
         let known = &peer.row;
-        let same = known.incarnation == row.incarnation;
-        if same && known.sequence >= row.sequence {
+        let is_same_incarnation = known.incarnation == row.incarnation;
+        if is_same_incarnation && known.sequence >= row.sequence {
             return Vec::new();
         }
-        // A row of an older incarnation that comes late by way of a third process.
-        if !same && peer.made.is_some_and(|at| at > made) {
+        // A row of an older incarnation can arrive late by way of a third process.
+        if !is_same_incarnation && peer.row_made.is_some_and(|at| at > made) {
             return Vec::new();
         }
-        let earlier = peer.made.is_none() && row.uptime > uptime;
-        let told = row.accounts.iter().map(|use_| {
-            let account = use_.account.clone();
-            if earlier {
-                return Told::Left(account, use_.left);
+        let is_first_of_older_process = peer.row_made.is_none() && row.uptime > uptime;
+        let changes = row.accounts.iter().map(|usage| {
+            let account = usage.account.clone();
+            if is_first_of_older_process {
+                return Told::Left(account, usage.left);
             }
-            let before = known.accounts.iter().find(|known| same && known.account == account);
-            let before = before.map_or(0, |before| before.spent);
-            Told::Spent(account, use_.spent.saturating_sub(before))
+            let previous =
+                known.accounts.iter().find(|known| is_same_incarnation && known.account == account);
+            let previous = previous.map_or(0, |previous| previous.spent);
+            Told::Spent(account, usage.spent.saturating_sub(previous))
         });
-        let told = told.collect();
+        let changes = changes.collect();
         peer.row = row;
-        peer.made = Some(made);
-        told
+        peer.row_made = Some(made);
+        changes
     }
 
-    /// Addresses of all that may be alive.
+    /// Returns the addresses of all known processes.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.peers.keys().copied()
     }
 
-    /// Whether a process's row is current.
+    /// Returns whether the row of the process at this address is current.
     pub fn hears(&self, now: Instant, address: SocketAddr) -> bool {
-        self.peers.get(&address).is_some_and(|peer| self.is_known(peer, now))
+        self.peers.get(&address).is_some_and(|peer| self.has_current_row(peer, now))
     }
 
-    /// Processes that may take requests: those not heard for longer than `gone` can't.
+    /// Returns the number of active processes. One that wasn't seen for as long as `gone` can't take
+    /// requests with a key any more.
     pub fn expected(&self, now: Instant, gone: Duration) -> usize {
         self.active(now, gone).count()
     }
 
-    /// Those of them whose rows are current.
+    /// Returns the number of active processes whose rows are current.
     pub fn heard(&self, now: Instant, gone: Duration) -> usize {
-        self.active(now, gone).filter(|peer| self.is_known(peer, now)).count()
+        self.active(now, gone).filter(|peer| self.has_current_row(peer, now)).count()
     }
 
-    /// Processes, this one included, whose parts of limits this one may use: those that hear it, and
-    /// whom none hears that is silent here. So no two processes use the same part without one of them
-    /// hearing what the other uses.
+    /// Returns the number of processes, this one included, whose parts of accounts' limits this process
+    /// may use.
+    ///
+    /// Besides this process, these are the active processes with a current row whose [`Row::hears`]
+    /// contains `own`, the address of this process, and contains no active process whose row is stale
+    /// here. So two processes never use the same part unless one of them receives the other's rows.
     pub fn together(&self, now: Instant, gone: Duration, own: SocketAddr) -> u32 {
-        let (heard, silent): (Vec<&Peer>, Vec<&Peer>) =
-            self.active(now, gone).partition(|peer| self.is_known(peer, now));
-        let silent: BTreeSet<SocketAddr> =
-            silent.into_iter().filter_map(|peer| peer.row.address).collect();
-        let shares = |peer: &&Peer| {
+        let (current, stale): (Vec<&Peer>, Vec<&Peer>) =
+            self.active(now, gone).partition(|peer| self.has_current_row(peer, now));
+        let stale: BTreeSet<SocketAddr> =
+            stale.into_iter().filter_map(|peer| peer.row.address).collect();
+        let is_part_usable = |peer: &&Peer| {
             let hears = &peer.row.hears;
-            hears.contains(&own) && hears.iter().all(|address| !silent.contains(address))
+            hears.contains(&own) && hears.iter().all(|address| !stale.contains(address))
         };
-        heard.into_iter().filter(shares).count() as u32 + 1
+        current.into_iter().filter(is_part_usable).count() as u32 + 1
     }
 
-    /// Processes that are heard.
+    /// Returns the addresses of the processes whose rows are current and that aren't leaving.
     pub fn heard_addresses(&self, now: Instant) -> Vec<SocketAddr> {
-        let known =
-            self.peers.values().filter(|peer| self.is_known(peer, now) && !peer.row.leaving);
-        known.filter_map(|peer| peer.row.address).collect()
+        let current =
+            self.peers.values().filter(|peer| self.has_current_row(peer, now) && !peer.row.leaving);
+        current.filter_map(|peer| peer.row.address).collect()
     }
 
-    fn is_known(&self, peer: &Peer, now: Instant) -> bool {
-        let known = period(self.peers.len()) * KNOWN;
-        peer.made.is_some_and(|made| now.saturating_duration_since(made) < known)
+    fn has_current_row(&self, peer: &Peer, now: Instant) -> bool {
+        let lifetime = period(self.peers.len()) * STALE_ROW_PERIODS;
+        peer.row_made.is_some_and(|made| now.saturating_duration_since(made) < lifetime)
     }
 
-    /// Addresses of those that may take requests.
+    /// Returns the addresses of the active processes.
     pub fn active_addresses(&self, now: Instant, gone: Duration) -> Vec<SocketAddr> {
         self.active(now, gone).filter_map(|peer| peer.row.address).collect()
     }
 
-    /// Current rows, and for each how old it is.
+    /// Returns the newest row of each process that sent one, stale rows included, with its present age.
     pub fn rows(&self, now: Instant) -> impl Iterator<Item = Row> {
         self.peers.values().filter_map(move |peer| {
-            let age = now.saturating_duration_since(peer.made?);
+            let age = now.saturating_duration_since(peer.row_made?);
             Some(Row { age, ..peer.row.clone() })
         })
     }
 
-    /// Age of the oldest row that is current.
+    /// Returns the age of the oldest current row; `None` where no row is current.
     pub fn oldest(&self, now: Instant) -> Option<Duration> {
-        let known = self.peers.values().filter(|peer| self.is_known(peer, now));
-        known.filter_map(|peer| Some(now.saturating_duration_since(peer.made?))).max()
+        let current = self.peers.values().filter(|peer| self.has_current_row(peer, now));
+        current.filter_map(|peer| Some(now.saturating_duration_since(peer.row_made?))).max()
     }
 
-    /// What others have at their targets, as far as that is known.
+    /// Returns the load that other processes put on targets, by their current rows.
     pub fn running(&self, now: Instant) -> impl Iterator<Item = &Busy> {
-        let known = self.peers.values().filter(move |peer| self.is_known(peer, now));
-        known.flat_map(|peer| &peer.row.running)
+        let current = self.peers.values().filter(move |peer| self.has_current_row(peer, now));
+        current.flat_map(|peer| &peer.row.running)
     }
 
-    /// What all others last told of roll-outs.
+    /// Returns the states of roll-outs from the newest rows of all other processes, stale rows included.
     pub fn shares(&self) -> impl Iterator<Item = &Share> {
         self.peers.values().flat_map(|peer| &peer.row.rollouts)
     }
 
-    /// Whether all that may take requests tell that an order's requests have moved.
+    /// Returns whether every active process reports that it has moved all requests to the version that
+    /// is ordered at this position.
     pub fn all_moved(&self, now: Instant, gone: Duration, order: Position) -> bool {
         self.active(now, gone).all(|peer| {
             peer.row.rollouts.iter().any(|share| share.order.position == order && share.moved)
         })
     }
 
-    /// Forgets processes that have been silent for longer than `gone`, many times over.
+    /// Removes processes that weren't seen for ten times as long as `gone`.
     pub fn forget(&mut self, now: Instant, gone: Duration) {
-        self.peers.retain(|_, peer| now.duration_since(peer.last()) < gone * 10);
+        self.peers.retain(|_, peer| now.duration_since(peer.last_seen()) < gone * 10);
     }
 
     fn active(&self, now: Instant, gone: Duration) -> impl Iterator<Item = &Peer> {
@@ -279,11 +301,12 @@
 }
 
 impl Peer {
-    fn last(&self) -> Instant {
-        self.made.map_or(self.introduced, |made| made.max(self.introduced))
+    /// Returns when this process last had evidence that the peer was alive.
+    fn last_seen(&self) -> Instant {
+        self.row_made.map_or(self.stamp_seen, |made| made.max(self.stamp_seen))
     }
 
     fn is_active(&self, now: Instant, gone: Duration) -> bool {
-        !self.row.leaving && now.saturating_duration_since(self.last()) < gone
+        !self.row.leaving && now.saturating_duration_since(self.last_seen()) < gone
     }
 }
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -1,16 +1,17 @@
-//! What entry processes relay to each other: the configuration, the targets, and which bodies crashed
-//! some.
+//! Data that entry processes relay to each other: the configuration, the list of targets, and counts of
+//! request bodies that crashed targets.
 //!
-//! With each exchange a process offers what it has, by version only. Whoever lacks it fetches it from
-//! one that offers it, so that a process without a way to the platform's service goes on by those that
-//! have one, and one that starts in an outage learns what the others know.
+//! In each exchange a process offers the versions of the data that it has. A process with an older
+//! version fetches the data from one that offers a newer one. So a process that can't reach the
+//! platform's service keeps up through those that can, and a process that starts during an outage gets
+//! the data that the others have.
 //!
-//! Of each topic one fetch runs at a time. If all that are ahead gave the whole with each exchange,
-//! their copies would fill a narrow link, be dropped unfinished and begin again.
+//! A process runs one fetch of each topic at a time. If every process that is ahead sent the data with
+//! each exchange, the copies would fill a narrow link, time out unfinished and start again.
 //!
-//! Whether the configuration is current each process proves by its own reads: one that has no way to
-//! the platform's service is owed nothing for requests with a key, and what it served of them would
-//! take room from those that are.
+//! Each process proves by its own reads that its configuration is current; relayed data proves nothing.
+//! A process that can't reach the platform's service isn't expected to serve requests with a key, and
+//! those that it served would take capacity from processes that are.
 
 use std::{
     hash::BuildHasher,
@@ -22,86 +23,90 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    HASHER, SILENCE, State, crashes,
+    HASHER, SILENCE, State,
+    crashes::CrashCount,
     event::{Effect, Now, Target},
     plan::Plan,
 };
 
-/// Shortest time between two fetches of counts of crashes: while many targets die at once, each process
-/// has others than the next.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Shortest time between the starts of two fetches of crash counts. While many targets crash at once, the
+/// counts of every two processes differ, and each difference would start a fetch.
+const MIN_CRASH_FETCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Number of the copies of itself that the platform's service came back from, and so lost the last of
-/// what it had acknowledged; 0 where it doesn't count them.
+/// Number that grows each time the platform's service is restored from an older copy of itself, and so
+/// loses the last writes that it acknowledged: 1 for a service that was never restored, 0 where the
+/// service doesn't count its restores.
 pub type Era = u64;
 
-/// Place in a stream of records of the platform's service. In a newer era offsets are given out again:
-/// one means nothing without its era.
+/// Position in a stream of records of the platform's service. A newer era assigns the same offsets again,
+/// so an offset means nothing without its era.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Position {
-    /// The era; goes before the offset.
+    /// Era of the record; compared before the offset.
     pub era: Era,
-    /// Grows with each record of an era.
+    /// Offset of the record, which grows with each record of an era.
     pub offset: u64,
 }
 
-/// What is fetched by itself, the one with the shorter bound first.
+/// Kind of data that is fetched separately from the others. Kinds are ordered by the time within which
+/// they have to reach all processes, shortest first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Topic {
     /// The list of targets.
     Targets,
     /// The configuration.
     Plan,
-    /// Bodies that crashed targets.
+    /// Counts of bodies that crashed targets.
     Crashes,
 }
 
-/// What a process has.
+/// Versions of the data that a process has.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Known {
-    /// Version of its configuration; 0 where it has none.
+    /// Version of the configuration; 0 where the process has none.
     pub plan: u64,
-    /// Position of its list of targets; the default where it has none.
+    /// Position of the list of targets; the default position where the process has none.
     pub targets: Position,
-    /// Digest of its counts of crashes; 0 where it has none.
+    /// Digest of the crash counts; 0 where the process has none.
     pub crashes: u64,
 }
 
-/// What a process offers to the others.
+/// Message in which a process tells another which data it can send.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Offer {
-    /// What it gives to whoever asks.
+    /// Versions of the data that the process sends on request.
     pub known: Known,
-    /// Time since the platform answered it, suspensions included; `None` where that just had an
-    /// outage. An outage of another process alone is none of the platform.
+    /// Time since the platform's service last confirmed the process's configuration, suspensions of the
+    /// host included; `None` where it never did, or where an outage ended just before. A short time
+    /// proves to a process that got no answers itself that the platform had no outage.
     pub answered: Option<Duration>,
 }
 
-/// What a process gives to one that asks.
+/// Data of one topic, as a process sends it to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum News {
     /// The list of targets.
     Targets(Listing),
     /// The configuration.
     Plan(Arc<Plan>),
-    /// Bodies that crashed targets, as all processes counted that are known.
-    Crashes(Vec<crashes::Count>),
+    /// Counts of bodies that crashed targets, of every process whose counts the sender knows.
+    Crashes(Vec<CrashCount>),
 }
 
-/// A list of targets.
+/// List of the platform's targets.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
-    /// The targets.
+    /// All listed targets.
     pub targets: Vec<Target>,
-    /// Position of the record by which they last changed.
+    /// Position of the record that last changed the list.
     pub position: Position,
 }
 
 impl Topic {
-    /// All topics, in the order in which they are fetched.
+    /// All topics, in the order in which their fetches start.
     pub const ALL: [Topic; 3] = [Topic::Targets, Topic::Plan, Topic::Crashes];
 
-    /// Its name in logs and metrics.
+    /// Returns the name of the topic in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Topic::Targets => "targets",
@@ -110,15 +115,17 @@
         }
     }
 
-    /// Whether what is given of it stays true for as long as its version stays; ages don't.
+    /// Returns whether packed data of the topic may be sent again while its version stays the same. Crash
+    /// counts may not: they contain ages.
     pub fn is_timeless(self) -> bool {
         self != Topic::Crashes
     }
 }
 
 impl Known {
-    /// What it has of a topic: differs with each change, the default where it has nothing. Versions of
-    /// the configuration grow through all eras.
+    /// Returns the version of a topic's data as a position, which differs after each change and is the
+    /// default where there is no data. Configurations and crash counts get era 0: versions of the
+    /// configuration grow across all eras, and digests have none.
     pub fn of(&self, topic: Topic) -> Position {
         match topic {
             Topic::Targets => self.targets,
@@ -127,16 +134,16 @@
         }
     }
 
-    /// Whether it may have something of a topic that another lacks.
-    fn may_tell(&self, other: &Known, topic: Topic) -> bool {
+    /// Returns whether a process with these versions may have data of a topic that `other` lacks.
+    fn may_be_ahead(&self, other: &Known, topic: Topic) -> bool {
         match topic {
             Topic::Targets | Topic::Plan => self.of(topic) > other.of(topic),
-            // Which of two digests is of more counts can't be seen.
+            // Two digests don't show which of them covers more counts.
             Topic::Crashes => self.crashes != other.crashes && self.crashes != 0,
         }
     }
 
-    fn forget(&mut self, topic: Topic) {
+    fn clear(&mut self, topic: Topic) {
         match topic {
             Topic::Targets => self.targets = Position::default(),
             Topic::Plan => self.plan = 0,
@@ -146,25 +153,26 @@
 }
 
 impl State {
-    /// What this process has.
+    /// Returns the versions of the data that this process has.
     pub fn known(&self) -> Known {
         let plan = self.plan.as_ref().map_or(0, |plan| plan.version);
         Known { plan, targets: self.listing.position, crashes: self.crashes.digest() }
     }
 
-    /// What this process offers to the others.
+    /// Returns the offer that this process sends to the others. It leaves out the list of targets just
+    /// after an outage.
     pub fn offer(&self, now: Now) -> Offer {
         let mut known = self.known();
         if self.is_returning(now.steady) {
-            // Just after an outage a list may lack targets that are alive.
-            known.forget(Topic::Targets);
+            // Just after an outage the list may lack targets that are alive.
+            known.clear(Topic::Targets);
             return Offer { known, answered: None };
         }
         let answered = self.confirmed.map(|at| now.boot.saturating_sub(at));
         Offer { known, answered }
     }
 
-    /// What this process gives to one that asks, if it offers it.
+    /// Returns the data of a topic for another process; `None` where this process doesn't offer it.
     pub fn news(&self, now: Now, topic: Topic) -> Option<News> {
         if self.offer(now).known.of(topic) == Position::default() {
             return None;
@@ -176,7 +184,8 @@
         }
     }
 
-    /// Hears what another offers.
+    /// Stores another process's offer. If the platform answered that process within the longest silence
+    /// that isn't an outage, there was no outage of the platform.
     pub(super) fn offered(&mut self, now: Now, peer: SocketAddr, offer: Offer) {
         if let Some(age) = offer.answered {
             self.answered = self.answered.max(now.boot.checked_sub(age));
@@ -188,7 +197,8 @@
         self.offers.insert(peer, offer.known);
     }
 
-    /// Takes in what was fetched of a topic; nothing where that failed.
+    /// Applies the data that a fetch of a topic from a peer brought; `news` is `None` where the fetch
+    /// failed.
     pub(super) fn fetched(
         &mut self,
         now: Instant,
@@ -197,9 +207,9 @@
         effects: &mut Vec<Effect>,
     ) {
         self.fetching.remove(&topic);
-        // Whoever still has what is lacked offers it again with the next exchange.
+        // A peer that still has newer data offers it again in the next exchange.
         if let Some(known) = self.offers.get_mut(&peer) {
-            known.forget(topic);
+            known.clear(topic);
         }
         match news {
             Some(News::Plan(plan)) => self.plan(plan, effects),
@@ -215,24 +225,26 @@
         }
     }
 
-    /// Fetches what others are ahead in.
+    /// Starts a fetch of each topic in which another process may be ahead, unless one runs already. It
+    /// goes to the process with the newest data, for crash counts to any that has others.
     pub(super) fn fetch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let own = self.known();
-        let is_ahead = |known: &Known| Topic::ALL.iter().any(|&t| known.may_tell(&own, t));
+        let is_ahead = |known: &Known| Topic::ALL.iter().any(|&t| known.may_be_ahead(&own, t));
         self.offers.retain(|_, known| is_ahead(known));
         for topic in Topic::ALL {
-            let rests = topic == Topic::Crashes && self.crashes_at.is_some_and(|at| now < at);
-            if rests || self.fetching.contains(&topic) {
+            let is_throttled =
+                topic == Topic::Crashes && self.crashes_at.is_some_and(|at| now < at);
+            if is_throttled || self.fetching.contains(&topic) {
                 continue;
             }
-            let ahead = self.offers.iter().filter(|(_, known)| known.may_tell(&own, topic));
+            let ahead = self.offers.iter().filter(|(_, known)| known.may_be_ahead(&own, topic));
             let ahead = ahead.map(|(&peer, known)| match topic {
                 Topic::Targets | Topic::Plan => (known.of(topic), self.affinity(peer, 0), peer),
                 Topic::Crashes => (Position::default(), self.affinity(peer, own.crashes), peer),
             });
             if let Some((.., peer)) = ahead.max() {
                 if topic == Topic::Crashes {
-                    self.crashes_at = Some(now + PAUSE);
+                    self.crashes_at = Some(now + MIN_CRASH_FETCH_INTERVAL);
                 }
                 self.fetching.insert(topic);
                 effects.push(Effect::Fetch { peer, topic });
@@ -240,12 +252,13 @@
         }
     }
 
-    /// Differs by process and peer, so that processes that lack the same ask different ones for it.
-    fn affinity(&self, peer: SocketAddr, turn: u64) -> u64 {
-        HASHER.hash_one((self.settings.address, peer, turn))
+    /// Returns a hash by which this process chooses among peers that offer the same. It differs by
+    /// process, so that processes that lack the same data fetch it from different peers, and by `salt`.
+    fn affinity(&self, peer: SocketAddr, salt: u64) -> u64 {
+        HASHER.hash_one((self.settings.address, peer, salt))
     }
 
-    /// Takes a list over that was read here, unless a newer one is known.
+    /// Uses a list that this process read from the platform's service, unless a newer one is known.
     pub(super) fn take_over(&mut self, now: Instant, listing: Listing, effects: &mut Vec<Effect>) {
         if listing.position >= self.listing.position {
             self.enter(now, listing.position.era);
