--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -1,121 +1,129 @@
-//! Limits of client accounts that all entry processes keep together.
+//! Limits of client accounts that all entry processes enforce together.
 //!
-//! Each process knows what the others let through and keeps the whole limit's bucket. A process that
-//! may take requests but is silent keeps to an equal part. A process uses, besides its own, the parts
-//! of those that hear it and none that is silent here: whoever else uses these parts is heard here, so
-//! that what is let through adds up to the limit whoever is cut off from whom.
+//! Each process learns how many units the others admitted and keeps a token bucket for the whole limit.
+//! The limit is divided into equal parts, one for each active process. A process that is cut off from the
+//! others uses only its own part. Any other process also uses the parts of those that receive its rows
+//! and that receive rows of no active process from which it gets none itself. Every other process that
+//! uses one of these parts is then known here, so the admitted units add up to the limit in any
+//! partition of the network.
 
 use std::time::{Duration, Instant};
 
 use super::{event::Lack, plan::Limit};
 
-/// What one process knows of an account's use.
+/// Token buckets of one account, as one process keeps them.
 #[derive(Clone, Debug)]
 pub struct Allowance {
-    /// Units let through by this process since its start; only grows, but for what is given back.
+    /// Units that this process admitted since its start, less the units that were returned.
     pub spent: u64,
-    /// Units left of the parts of all processes whose use is known; at most their burst, negative after
-    /// an overshoot.
-    whole: f64,
-    /// Units left of an equal part of the limit.
-    part: f64,
-    /// Units of the largest request of late; small ones wait for as much as it does.
-    largest: f64,
+    /// Units left in the bucket of the parts of all processes whose use is known; negative after an
+    /// overshoot.
+    shared_units: f64,
+    /// Units left in the bucket of this process's own part of the limit; negative after an overshoot.
+    own_units: f64,
+    /// Units of the largest recent request with stated tokens; smaller ones wait for as many, so that
+    /// small requests don't starve large ones.
+    recent_largest: f64,
+    /// When the buckets were last refilled.
     refilled: Instant,
-    /// Part of what a process gets besides after its start that is still to come, from 0 to 1.
-    stock: f64,
-    /// Whether it has taken over what another process has left.
-    adopted: bool,
+    /// Fraction of the extra units after the start that the buckets have yet to get, from 0 to 1.
+    pending_start_units: f64,
+    /// Whether the units left were taken over from a process that started earlier.
+    has_adopted: bool,
 }
 
-/// How far a deployment lets an account's use lie above its limit.
+/// How far a deployment lets an account's use exceed its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Part of what the limit allows over the window.
+    /// Excess as a fraction of the units that the limit allows over the window.
     pub ratio: f64,
-    /// Units besides.
+    /// Excess in units on top of that.
     pub slack: f64,
-    /// Time over which use is counted.
+    /// Time over which use is measured.
     pub window: Duration,
 }
 
-/// Part of the tolerance that is given out, so that nothing below the limit is refused where
-/// requests come in clumps. The rest is left for what processes let through before they hear of
-/// each other, and for the parts that come on top when one is cut off.
-const GIVEN: f64 = 0.7;
-/// Part of the tolerance that a process gets besides after its start. What was let through before isn't
-/// known, and may have been all that the limit allows; this much may come on top all the same.
-const STOCK: f64 = 0.1;
-/// Part of the tolerance that comes so over a window, to all starts in it together.
-const STOCKS: f64 = 0.3;
-/// Part of the bucket that is kept for each higher rank, so that lower ones are refused before them.
-const RESERVE: f64 = 0.15;
-/// Ranks that are told apart.
-const RANKS: u32 = 1;
-/// Part of the largest request's units that is remembered after the next one: a bucket that is
-/// nearly empty refuses all sizes alike.
-const REMEMBERED: f64 = 0.98;
+/// Fraction of the tolerance that is added to the shared bucket's capacity, so that bursts of an account
+/// below its limit aren't refused. The rest is left for the units that processes admit before they
+/// learn of each other's use, and for a process that is cut off and uses its own part in addition.
+const BURST_TOLERANCE: f64 = 0.7;
+/// Fraction of the tolerance that a process gets as extra units after its start, when its buckets are
+/// empty. The units admitted before aren't known and may be all that the limit allows; this fraction may
+/// be admitted in addition even then.
+const START_TOLERANCE: f64 = 0.1;
+/// Fraction of the tolerance that all starts within a window get together as extra units.
+const STARTS_TOLERANCE: f64 = 0.3;
+/// Fraction of a bucket's burst that a request leaves for each higher rank, so that requests of lower
+/// ranks are refused first.
+const RESERVE_PER_RANK: f64 = 0.15;
+/// Number of higher ranks for which a request leaves units; all lower ranks are treated alike.
+const MAX_RESERVED_RANKS: u32 = 1;
+/// Fraction of the recent largest size that is kept after each request with stated tokens. While it
+/// lasts, a nearly empty bucket refuses requests of all sizes alike.
+const LARGEST_DECAY: f64 = 0.98;
 
 impl Tolerance {
-    fn part(&self, part: f64, limit: &Limit) -> f64 {
+    /// Returns a fraction of the tolerated excess over a limit, in units.
+    fn units(&self, fraction: f64, limit: &Limit) -> f64 {
         let allowed = limit.rate * self.window.as_secs_f64() + limit.burst;
-        part * (self.ratio * allowed + self.slack)
+        fraction * (self.ratio * allowed + self.slack)
     }
 }
 
-/// What a request asks of its account's limit.
+/// Units that a request needs from its account's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
-    /// Units that it takes.
+    /// Number of units that the request takes.
     pub units: f64,
-    /// Its rank: what is kept for higher ones it leaves.
+    /// Rank of the request, 0 for the highest: it leaves the units that are reserved for higher ranks.
     pub rank: u32,
-    /// Whether it says its size, and so waits for as much as the largest of late does. Others are too
-    /// small to take from those.
-    pub sized: bool,
+    /// Whether the request states its tokens and so waits for as many units as the largest recent one.
+    /// Requests that don't are too small to hold up large ones.
+    pub is_sized: bool,
 }
 
-/// What a process may use.
+/// Number of processes that share a limit, and the parts of it that this process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
-    /// Processes among which the limit is parted; at least 1.
-    pub among: u32,
-    /// Those of them, this one included, whose use is known here.
-    pub heard: u32,
-    /// Those of them, this one included, whose parts this one may use; 1 where it keeps to its part.
-    pub together: u32,
-    /// How far the limit may be passed.
+pub struct LimitShare {
+    /// Number of processes among which the limit is divided; at least 1.
+    pub processes: u32,
+    /// Number of those processes, this one included, whose use is known here.
+    pub known: u32,
+    /// Number of those processes, this one included, whose parts this process may use; 1 where it may use
+    /// only its own.
+    pub usable: u32,
+    /// How far use may exceed the limit.
     pub tolerance: Tolerance,
 }
 
-/// An account that hasn't been used. Its buckets are empty: a process that was started again doesn't know
-/// what it let through before.
+/// Returns the buckets of an account that hasn't been used since `started`, the start of this process.
+/// They are empty: a process that restarted doesn't know what it admitted before.
 pub fn open(started: Instant) -> Allowance {
     Allowance {
         spent: 0,
-        whole: 0.0,
-        part: 0.0,
-        largest: 0.0,
+        shared_units: 0.0,
+        own_units: 0.0,
+        recent_largest: 0.0,
         refilled: started,
-        stock: 1.0,
-        adopted: false,
+        pending_start_units: 1.0,
+        has_adopted: false,
     }
 }
 
 impl Allowance {
-    /// Hears that units are asked for.
+    /// Updates the largest recent size with a request that arrived.
     pub fn ask(&mut self, claim: Claim) {
-        if claim.sized {
-            self.largest = claim.units.max(REMEMBERED * self.largest);
+        if claim.is_sized {
+            self.recent_largest = claim.units.max(LARGEST_DECAY * self.recent_largest);
         }
     }
 
-    /// Takes units, or says what is lacking.
+    /// Takes a request's units, or returns the units that it needs and those that are left.
     pub fn take(
         &mut self,
         now: Instant,
         limit: &Limit,
-        share: Share,
+        share: LimitShare,
         claim: Claim,
     ) -> Result<(), Lack> {
         self.refill(now, limit, share);
@@ -123,73 +131,88 @@
         if lack.units > lack.left {
             return Err(lack);
         }
-        self.whole -= claim.units;
-        self.part -= claim.units;
+        self.shared_units -= claim.units;
+        self.own_units -= claim.units;
         self.spent += claim.units as u64;
         Ok(())
     }
 
-    /// What has to be there for units to be taken, and what is.
-    pub fn lack(&self, now: Instant, limit: &Limit, share: Share, claim: Claim) -> Lack {
-        let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
-        let (among, together) = (share.among, share.together);
-        let (left, part) = if together > 1 || among == 1 {
-            (self.whole, f64::from(together) / f64::from(among))
+    /// Returns the units that must be left for a request to be admitted, and those that are.
+    pub fn lack(&self, now: Instant, limit: &Limit, share: LimitShare, claim: Claim) -> Lack {
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        let (processes, usable) = (share.processes, share.usable);
+        let (left, fraction) = if usable > 1 || processes == 1 {
+            (self.shared_units, f64::from(usable) / f64::from(processes))
         } else {
-            (self.part, 1.0 / f64::from(among))
+            (self.own_units, 1.0 / f64::from(processes))
         };
-        let (rate, burst) = (limit.rate * part, limit.burst * part);
-        let reserve = RESERVE * f64::from(claim.rank.min(RANKS)) * burst;
-        let units = if claim.sized { claim.units.max(self.largest) } else { claim.units };
-        // A request larger than the burst is let through by a full bucket.
+        let (rate, burst) = (limit.rate * fraction, limit.burst * fraction);
+        let reserve = RESERVE_PER_RANK * f64::from(claim.rank.min(MAX_RESERVED_RANKS)) * burst;
+        let units = if claim.is_sized { claim.units.max(self.recent_largest) } else { claim.units };
+        // A full bucket admits a request that is larger than the burst.
         let needed = (units + reserve).min(burst);
-        Lack { units: needed, left: left + passed * rate, rate, among, together }
+        Lack {
+            units: needed,
+            left: left + elapsed * rate,
+            rate,
+            among: processes,
+            together: usable,
+        }
     }
 
-    /// Gives back units of a request that did not run.
+    /// Returns the units of a request that did not run to the buckets.
     pub fn give_back(&mut self, units: f64) {
-        self.whole += units;
-        self.part += units;
+        self.shared_units += units;
+        self.own_units += units;
         self.spent = self.spent.saturating_sub(units as u64);
     }
 
-    /// Units left, for a process that was started after this one.
+    /// Returns the units left in the shared bucket, which a process that started later takes over.
     pub fn left(&self) -> i64 {
-        self.whole as i64
+        self.shared_units as i64
     }
 
-    /// Takes over what a process that started earlier has left, in place of what this one started with.
+    /// Sets the shared bucket to the units left at a process that started earlier, less the units that
+    /// this process admitted; of several such processes the most units left count. The process gets no
+    /// more extra units for its start then.
     pub fn adopt(&mut self, now: Instant, left: i64) {
         let left = left as f64 - self.spent as f64;
-        self.whole = if self.adopted { self.whole.max(left) } else { left };
-        self.adopted = true;
-        self.stock = 0.0;
+        self.shared_units = if self.has_adopted { self.shared_units.max(left) } else { left };
+        self.has_adopted = true;
+        self.pending_start_units = 0.0;
         self.refilled = now;
     }
 
-    /// Counts what another process let through.
+    /// Subtracts units that another process admitted from the shared bucket.
     pub fn charge(&mut self, units: f64) {
-        self.whole -= units;
+        self.shared_units -= units;
     }
 
-    fn refill(&mut self, now: Instant, limit: &Limit, share: Share) {
-        let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
+    /// Adds the units that became available since the last refill to both buckets.
+    fn refill(&mut self, now: Instant, limit: &Limit, share: LimitShare) {
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.refilled = now;
-        let among = f64::from(share.among);
-        let time = share.tolerance.window.mul_f64(STOCK / STOCKS);
-        let comes = passed.min(self.stock * time.as_secs_f64()) / time.as_secs_f64();
-        self.stock -= comes;
-        let stock = comes * share.tolerance.part(STOCK, limit);
-        self.whole += stock;
-        self.part += stock / among;
-        // What was taken beyond the limit is owed for a burst at most, else a lowered limit would
-        // lock its account out.
-        let floor = -limit.burst.max(limit.rate);
-        // All whose use is charged to it count while this process keeps to its part.
-        let known = if share.together > 1 { share.together } else { share.heard };
-        let known = f64::from(known) / among;
-        let most = (limit.burst + share.tolerance.part(GIVEN, limit)) * known;
-        self.whole = (self.whole + passed * limit.rate * known).clamp(floor, most);
-        self.part = (self.part + passed * limit.rate / among).clamp(floor, limit.burst / among);
+        let processes = f64::from(share.processes);
+        // The extra units after a start come evenly over this time, so that all starts in a window get
+        // no more than the fraction of the tolerance that is meant for them together.
+        let start_time = share.tolerance.window.mul_f64(START_TOLERANCE / STARTS_TOLERANCE);
+        let start_fraction = elapsed.min(self.pending_start_units * start_time.as_secs_f64())
+            / start_time.as_secs_f64();
+        self.pending_start_units -= start_fraction;
+        let start_units = start_fraction * share.tolerance.units(START_TOLERANCE, limit);
+        self.shared_units += start_units;
+        self.own_units += start_units / processes;
+        // An overshoot is carried over only up to one burst, or a second of the rate if that is more:
+        // otherwise a lowered limit would lock its account out.
+        let min_units = -limit.burst.max(limit.rate);
+        // While this process uses only its own part, the shared bucket gets the parts of all processes
+        // whose use is charged to it.
+        let charged = if share.usable > 1 { share.usable } else { share.known };
+        let fraction = f64::from(charged) / processes;
+        let max_units = (limit.burst + share.tolerance.units(BURST_TOLERANCE, limit)) * fraction;
+        self.shared_units =
+            (self.shared_units + elapsed * limit.rate * fraction).clamp(min_units, max_units);
+        self.own_units = (self.own_units + elapsed * limit.rate / processes)
+            .clamp(min_units, limit.burst / processes);
     }
 }
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -1,8 +1,9 @@
-//! Requests that wait for their account's limit.
+//! Requests that wait for units of their account's limit.
 //!
-//! Buckets are nearly empty where a process starts, since nobody knows what was let through before,
-//! and fill at the account's rate, so what is asked then lacks tenths of a second. A caller that was
-//! refused for that came back late; one whose units come within a part of its wait is kept, and is on time.
+//! When a process starts, its buckets are nearly empty, since the units admitted before aren't known, and
+//! fill at the account's rate. A request that arrives then lacks units for tenths of a second. Callers
+//! that were refused for that retried too late, so a request waits if its units become available within
+//! a fixed part of its longest wait, and is then answered in time.
 
 use std::{
     collections::BTreeSet,
@@ -13,58 +14,60 @@
 
 use super::{
     LIMIT_RETRY_MAX, LIMIT_WAIT_PART, State,
-    allowance::{self, Claim, Share},
+    allowance::{self, Claim, LimitShare},
     event::{Effect, Lack, Reason, Refusal, Request, Ticket},
     pending::{Pending, Stage},
     plan, refuse,
 };
 
 impl State {
-    /// What a request asks of its account's limit.
+    /// Returns the units that a request needs from its account's limit.
     pub(super) fn claim(limit: &plan::Limit, rank: u32, request: &Request) -> Claim {
         let tokens =
             request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.output));
         let units = if limit.tokens { tokens.unwrap_or(limit.plain) } else { 1.0 };
-        let sized = tokens.is_some();
-        // Calls of plain services are too small to make room for others.
-        Claim { units, rank: if sized { rank } else { 0 }, sized }
+        let is_sized = tokens.is_some();
+        // Requests to plain services state no tokens and are too small to leave units for higher ranks.
+        Claim { units, rank: if is_sized { rank } else { 0 }, is_sized }
     }
 
-    /// Lets requests through that waited for their accounts' limits, in their order.
+    /// Moves requests that waited for their accounts' limits to the queues for targets, in queue order,
+    /// as far as units are left.
     pub(super) fn grant(&mut self, now: Instant) {
         if self.next_grant.is_some_and(|at| at > now) {
             return;
         }
         self.next_grant = None;
         for (account, queue) in std::mem::take(&mut self.limited) {
-            let mut blocked = false;
-            let mut rest = BTreeSet::new();
+            let mut is_blocked = false;
+            let mut still_waiting = BTreeSet::new();
             for order in queue {
                 let Some(claim) = self.limit_claim(order.ticket) else {
                     continue;
                 };
-                // What one lacks that says its size isn't taken by those behind it that do.
-                if blocked && claim.sized {
-                    rest.insert(order);
+                // A request with stated tokens can't overtake another one that lacks units.
+                if is_blocked && claim.is_sized {
+                    still_waiting.insert(order);
                     continue;
                 }
                 match self.spend(now, &account, claim) {
-                    Ok(()) => self.let_through(order.ticket),
+                    Ok(()) => self.queue_for_target(order.ticket),
                     Err(lack) => {
-                        let at = now + time(&lack, lack.units);
+                        let at = now + refill_time(&lack, lack.units);
                         self.next_grant = Some(self.next_grant.map_or(at, |known| known.min(at)));
-                        blocked |= claim.sized;
-                        rest.insert(order);
+                        is_blocked |= claim.is_sized;
+                        still_waiting.insert(order);
                     }
                 }
             }
-            if !rest.is_empty() {
-                self.limited.insert(account, rest);
+            if !still_waiting.is_empty() {
+                self.limited.insert(account, still_waiting);
             }
         }
     }
 
-    /// Refuses a request whose units come too late for it.
+    /// Refuses a request whose units won't be available within the part of its wait that it may spend
+    /// on its account's limit.
     pub(super) fn refuse_hopeless(
         &mut self,
         now: Instant,
@@ -74,17 +77,19 @@
         let Some((lack, wait)) = self.limit_wait(now, ticket) else {
             return;
         };
-        let latest = |known: &Pending| {
-            let whole = known.give_up.saturating_duration_since(known.arrived);
-            known.arrived + whole.mul_f64(LIMIT_WAIT_PART)
+        let latest = |pending: &Pending| {
+            let longest_wait = pending.give_up.saturating_duration_since(pending.arrived);
+            pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_PART)
         };
-        let hopeless = self.requests.get(&ticket).is_some_and(|known| now + wait > latest(known));
-        if hopeless {
+        let is_too_late =
+            self.requests.get(&ticket).is_some_and(|pending| now + wait > latest(pending));
+        if is_too_late {
             self.refuse_limited(now, ticket, lack, wait, effects);
         }
     }
 
-    /// Refuses a request for which its account's limit had no units in time.
+    /// Refuses a request for which its account's limit has no units in time; its caller may retry after
+    /// `wait`.
     pub(super) fn refuse_limited(
         &mut self,
         now: Instant,
@@ -99,29 +104,38 @@
         effects.push(Effect::Refuse { ticket, refusal, grounds });
     }
 
-    /// What the limit lacks for a request that waits for it, and how long that takes with those
-    /// before it.
+    /// Returns, for a request that waits for its account's limit, the units that it needs and those that
+    /// are left, and the time until it gets them after the requests ahead of it. `None` for any other
+    /// request.
     pub(super) fn limit_wait(&self, now: Instant, ticket: Ticket) -> Option<(Lack, Duration)> {
         let claim = self.limit_claim(ticket)?;
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
         let (limit, share) = self.limit(account)?;
-        let before = self.limited.get(account)?.range(..pending.order());
-        let before = before.filter_map(|order| self.limit_claim(order.ticket));
-        let before: f64 = before.filter(|_| claim.sized).map(|before| before.units).sum();
+        let ahead = self.limited.get(account)?.range(..pending.order());
+        let ahead = ahead.filter_map(|order| self.limit_claim(order.ticket));
+        let ahead: f64 = ahead.filter(|_| claim.is_sized).map(|ahead| ahead.units).sum();
         let lack = self.accounts.get(account)?.lack(now, &limit, share, claim);
-        Some((lack, time(&lack, lack.units + before)))
+        Some((lack, refill_time(&lack, lack.units + ahead)))
     }
 
-    fn limit(&self, account: &AccountName) -> Option<(plan::Limit, Share)> {
+    /// Returns an account's limit and the parts of it that this process may use; `None` where the account
+    /// has no limit.
+    fn limit(&self, account: &AccountName) -> Option<(plan::Limit, LimitShare)> {
         let limit = self.plan.as_ref()?.accounts.get(account)?.limit?;
-        let (among, heard, together) = (self.place.among, self.heard, self.together);
-        Some((limit, Share { among, heard, together, tolerance: self.settings.tolerance }))
+        let share = LimitShare {
+            processes: self.place.among,
+            known: self.heard,
+            usable: self.together,
+            tolerance: self.settings.tolerance,
+        };
+        Some((limit, share))
     }
 
-    /// Takes units of an account's limit.
+    /// Takes a request's units of an account's limit, or returns the units that it needs and those that
+    /// are left.
     fn spend(&mut self, now: Instant, account: &AccountName, claim: Claim) -> Result<(), Lack> {
-        // A limit that was lifted meanwhile lacks nothing.
+        // The configuration may have removed the limit since the request began to wait.
         let Some((limit, share)) = self.limit(account) else {
             return Ok(());
         };
@@ -130,6 +144,7 @@
         usage.or_insert_with(|| allowance::open(opened)).take(now, &limit, share, claim)
     }
 
+    /// Returns the units that a request waits for; `None` where it doesn't wait for its account's limit.
     fn limit_claim(&self, ticket: Ticket) -> Option<Claim> {
         match self.requests.get(&ticket)?.stage {
             Stage::Limited(claim) => Some(claim),
@@ -137,7 +152,8 @@
         }
     }
 
-    fn let_through(&mut self, ticket: Ticket) {
+    /// Lets a request that got its units wait for room at a target.
+    fn queue_for_target(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get_mut(&ticket) {
             pending.stage = Stage::Waiting;
         }
@@ -145,6 +161,7 @@
     }
 }
 
-fn time(lack: &Lack, units: f64) -> Duration {
+/// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX`] seconds.
+fn refill_time(lack: &Lack, units: f64) -> Duration {
     Duration::from_secs_f64(((units - lack.left) / lack.rate).clamp(0.0, LIMIT_RETRY_MAX))
 }
