--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -27,7 +27,7 @@
     /// When the buckets were last refilled.
     refilled: Instant,
     /// Fraction of the extra units after the start that the buckets have yet to get, from 0 to 1.
-    pending_start_units: f64,
+    start_fraction_left: f64,
     /// Whether the units left were taken over from a process that started earlier.
     has_adopted: bool,
 }
@@ -105,7 +105,7 @@
         own_units: 0.0,
         recent_largest: 0.0,
         refilled: started,
-        pending_start_units: 1.0,
+        start_fraction_left: 1.0,
         has_adopted: false,
     }
 }
@@ -179,7 +179,7 @@
         let left = left as f64 - self.spent as f64;
         self.shared_units = if self.has_adopted { self.shared_units.max(left) } else { left };
         self.has_adopted = true;
-        self.pending_start_units = 0.0;
+        self.start_fraction_left = 0.0;
         self.refilled = now;
     }
 
@@ -196,9 +196,9 @@
         // The extra units after a start come evenly over this time, so that all starts in a window get
         // no more than the fraction of the tolerance that is meant for them together.
         let start_time = share.tolerance.window.mul_f64(START_TOLERANCE / STARTS_TOLERANCE);
-        let start_fraction = elapsed.min(self.pending_start_units * start_time.as_secs_f64())
+        let start_fraction = elapsed.min(self.start_fraction_left * start_time.as_secs_f64())
             / start_time.as_secs_f64();
-        self.pending_start_units -= start_fraction;
+        self.start_fraction_left -= start_fraction;
         let start_units = start_fraction * share.tolerance.units(START_TOLERANCE, limit);
         self.shared_units += start_units;
         self.own_units += start_units / processes;
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -1,5 +1,5 @@
-//! Limits that several entry processes keep together, under cuts, kills and restarts, against a
-//! count of everything that was dispatched.
+//! Limits of client accounts that several entry processes enforce together, under network partitions,
+//! kills and restarts. The tests measure the units of all dispatched requests in each window.
 
 mod direct_support;
 
@@ -24,82 +24,85 @@
 };
 use test_case::test_case;
 
-const CASES: u32 = 40;
+const PROPTEST_CASES: u32 = 40;
 const PROCESSES: u16 = 4;
-/// Time of one step: half of the period of exchange.
+/// Time of one step: half of the exchange period.
 const STEP: Duration = Duration::from_millis(25);
+/// Limit of the account in units a second; also its burst in units.
 const RATE: f64 = 10_000.0;
 const TOLERANCE: Tolerance = Tolerance { ratio: 0.1, slack: 12_000.0, window: WINDOW };
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Two processes no longer hear each other.
-    Cut(u16, u16),
-    /// One hears no other, and does not reach the platform either.
-    Dark(u16),
-    /// It doesn't reach the platform.
-    Storeless(u16),
-    /// It is killed and started again at once.
+    /// The connection between two processes is cut.
+    CutPair(u16, u16),
+    /// One process is cut off from all others and from the platform.
+    Isolate(u16),
+    /// One process is cut off from the platform.
+    CutPlatform(u16),
+    /// One process is killed and restarted at once.
     Restart(u16),
-    /// All are killed and started again at once.
+    /// All processes are killed and restarted at once.
     RestartAll,
-    /// All ways are open again.
+    /// All connections work again.
     Heal,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Scene {
+struct Phase {
+    /// Fault at the start of the phase.
     fault: Fault,
-    /// Steps until the next fault.
+    /// Number of steps until the next phase.
     steps: u16,
     /// Process to which most requests go.
-    favoured: u16,
+    busiest: u16,
 }
 
 struct Fleet {
     processes: Vec<Process>,
-    cut: Vec<(u16, u16)>,
-    dark: Vec<u16>,
-    storeless: Vec<u16>,
-    incarnation: u64,
-    stamp: u64,
-    ticket: Ticket,
-    /// Units of the requests that wait, by process and ticket.
+    cut_pairs: Vec<(u16, u16)>,
+    isolated: Vec<u16>,
+    cut_from_platform: Vec<u16>,
+    last_incarnation: u64,
+    last_stamp: u64,
+    last_ticket: Ticket,
+    /// Units of the waiting requests, by process and ticket.
     waiting: HashMap<(u16, Ticket), u32>,
-    /// When each request was dispatched, in order, and its units.
+    /// Dispatch time and units of each request in the last window, in order.
     dispatched: VecDeque<(Instant, f64)>,
-    /// Requests that were dispatched, by their units.
+    /// Number of dispatched requests, by their units.
     served: HashMap<u32, u32>,
-    worst: f64,
+    /// Most units that were dispatched within any window.
+    max_window_units: f64,
 }
 
-fn config() -> Config {
+fn proptest_config() -> Config {
     Config {
-        cases: CASES,
+        cases: PROPTEST_CASES,
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(7),
         ..Config::default()
     }
 }
 
-fn scene() -> impl Strategy<Value = Scene> {
+fn phase() -> impl Strategy<Value = Phase> {
     let process = 0..PROCESSES;
     let fault = prop_oneof![
-        3 => (process.clone(), process.clone()).prop_map(|(a, b)| Fault::Cut(a, b)),
-        2 => process.clone().prop_map(Fault::Dark),
-        2 => process.clone().prop_map(Fault::Storeless),
+        3 => (process.clone(), process.clone()).prop_map(|(a, b)| Fault::CutPair(a, b)),
+        2 => process.clone().prop_map(Fault::Isolate),
+        2 => process.clone().prop_map(Fault::CutPlatform),
         2 => process.clone().prop_map(Fault::Restart),
         1 => Just(Fault::RestartAll),
         2 => Just(Fault::Heal),
     ];
-    (fault, 20..400_u16, process).prop_map(|(fault, steps, favoured)| Scene {
+    (fault, 20..400_u16, process).prop_map(|(fault, steps, busiest)| Phase {
         fault,
         steps,
-        favoured,
+        busiest,
     })
 }
 
-fn start(number: u16, incarnation: u64, now: Now) -> Process {
+fn start_process(number: u16, incarnation: u64, now: Now) -> Process {
     let mut settings = settings(number + 1);
     settings.incarnation = incarnation;
     settings.tolerance = TOLERANCE;
@@ -113,122 +116,126 @@
 
 fn fleet() -> Fleet {
     let now = blank(0).now;
-    let processes = (0..PROCESSES).map(|number| start(number, u64::from(number), now)).collect();
+    let processes =
+        (0..PROCESSES).map(|number| start_process(number, u64::from(number), now)).collect();
     Fleet {
         processes,
-        cut: Vec::new(),
-        dark: Vec::new(),
-        storeless: Vec::new(),
-        incarnation: 1_000,
-        stamp: 0,
-        ticket: 0,
+        cut_pairs: Vec::new(),
+        isolated: Vec::new(),
+        cut_from_platform: Vec::new(),
+        last_incarnation: 1_000,
+        last_stamp: 0,
+        last_ticket: 0,
         waiting: HashMap::new(),
         dispatched: VecDeque::new(),
         served: HashMap::new(),
-        worst: 0.0,
+        max_window_units: 0.0,
     }
 }
 
-/// Processes whose account has been asked for three times its limit for longer than a window.
-fn hot_fleet() -> Fleet {
+/// Returns a fleet whose account has sent three times its limit for longer than a window.
+fn overloaded_fleet() -> Fleet {
     let mut fleet = fleet();
-    fleet.introduce();
+    fleet.register_all();
     for step in 0..400 {
-        fleet.step(step, 0);
+        fleet.overload(step, 0);
     }
     fleet
 }
 
 impl Fleet {
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Cut(a, b) => self.cut.push((a, b)),
-            Fault::Dark(process) => self.dark.push(process),
-            Fault::Storeless(process) => self.storeless.push(process),
+            Fault::CutPair(a, b) => self.cut_pairs.push((a, b)),
+            Fault::Isolate(process) => self.isolated.push(process),
+            Fault::CutPlatform(process) => self.cut_from_platform.push(process),
             Fault::Restart(process) => self.restart(process),
             Fault::RestartAll => (0..PROCESSES).for_each(|process| self.restart(process)),
             Fault::Heal => {
-                self.cut.clear();
-                self.dark.clear();
-                self.storeless.clear();
+                self.cut_pairs.clear();
+                self.isolated.clear();
+                self.cut_from_platform.clear();
             }
         }
     }
 
     fn restart(&mut self, number: u16) {
-        self.incarnation += 1;
+        self.last_incarnation += 1;
         let now = self.processes[usize::from(number)].now;
-        self.processes[usize::from(number)] = start(number, self.incarnation, now);
-        self.introduce();
+        self.processes[usize::from(number)] = start_process(number, self.last_incarnation, now);
+        self.register_all();
     }
 
-    fn hear(&self, a: u16, b: u16) -> bool {
-        let dark = self.dark.contains(&a) || self.dark.contains(&b);
-        !dark && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
+    fn are_connected(&self, a: u16, b: u16) -> bool {
+        let is_isolated = self.isolated.contains(&a) || self.isolated.contains(&b);
+        !is_isolated && !self.cut_pairs.contains(&(a, b)) && !self.cut_pairs.contains(&(b, a))
     }
 
-    fn reaches(&self, number: u16) -> bool {
-        !self.dark.contains(&number) && !self.storeless.contains(&number)
+    fn reaches_platform(&self, number: u16) -> bool {
+        !self.isolated.contains(&number) && !self.cut_from_platform.contains(&number)
     }
 
-    /// Every process that reaches the platform makes itself known there and reads who else does.
-    fn introduce(&mut self) {
-        self.stamp += 1;
-        let stamp = self.stamp;
-        let introduce = |number| Introduction { address: address(number + 1), stamp };
-        let reaching = (0..PROCESSES).filter(|&number| self.reaches(number));
-        let known: Vec<Introduction> = reaching.map(introduce).collect();
+    /// Every process that reaches the platform registers there, confirms its configuration and reads
+    /// which processes are registered.
+    fn register_all(&mut self) {
+        self.last_stamp += 1;
+        let stamp = self.last_stamp;
+        let registration = |number| Introduction { address: address(number + 1), stamp };
+        let reaching = (0..PROCESSES).filter(|&number| self.reaches_platform(number));
+        let registered: Vec<Introduction> = reaching.map(registration).collect();
         for number in 0..PROCESSES {
-            if self.reaches(number) {
-                self.tell(number, |process| process.confirm());
-                self.tell(number, |process| process.send(Event::Introduced(known.clone())));
+            if self.reaches_platform(number) {
+                self.run(number, |process| process.confirm());
+                self.run(number, |process| process.send(Event::Introduced(registered.clone())));
             }
         }
     }
 
+    /// All pairs of connected processes exchange rows and offers.
     fn exchange(&mut self) {
         for a in 0..PROCESSES {
             for b in a + 1..PROCESSES {
-                if !self.hear(a, b) {
+                if !self.are_connected(a, b) {
                     continue;
                 }
                 let now = self.processes[0].now.steady;
                 let from_a = self.processes[usize::from(a)].state.row(now);
                 let from_b = self.processes[usize::from(b)].state.row(now);
-                self.tell(b, |process| process.send(Event::Heard(vec![from_a])));
-                self.tell(a, |process| process.send(Event::Heard(vec![from_b])));
-                self.relay(a, b);
-                self.relay(b, a);
+                self.run(b, |process| process.send(Event::Heard(vec![from_a])));
+                self.run(a, |process| process.send(Event::Heard(vec![from_b])));
+                self.fetch(a, b);
+                self.fetch(b, a);
             }
         }
     }
 
-    /// One process hears what another offers, and fetches it.
-    fn relay(&mut self, asking: u16, asked: u16) {
-        let asked = &self.processes[usize::from(asked)];
-        let asked = Process { state: asked.state.clone(), ..*asked };
-        self.tell(asking, |process| process.ask(&asked));
+    /// One process receives another's offer and fetches what it lacks.
+    fn fetch(&mut self, receiver: u16, sender: u16) {
+        let sender = &self.processes[usize::from(sender)];
+        let sender = Process { state: sender.state.clone(), ..*sender };
+        self.run(receiver, |process| process.ask(&sender));
     }
 
-    /// A request that ends at once when it is dispatched.
-    fn ask(&mut self, number: u16, prompt: u32) {
-        self.ticket += 1;
-        let mut asked = request(self.ticket, "/a/");
-        asked.tokens = Some(Tokens { prompt, output: 0 });
-        self.waiting.insert((number, self.ticket), prompt);
-        self.tell(number, |process| process.arrive(asked));
+    /// Sends a request, which ends as soon as it is dispatched, to a process.
+    fn send_request(&mut self, number: u16, prompt: u32) {
+        self.last_ticket += 1;
+        let mut request = request(self.last_ticket, "/a/");
+        request.tokens = Some(Tokens { prompt, output: 0 });
+        self.waiting.insert((number, self.last_ticket), prompt);
+        self.run(number, |process| process.arrive(request));
     }
 
-    /// Lets something happen to a process, and counts all that it dispatches then.
-    fn tell(&mut self, number: u16, happen: impl FnOnce(&mut Process) -> Vec<Effect>) {
-        let mut effects = happen(&mut self.processes[usize::from(number)]);
+    /// Runs an action on a process and counts all requests that are dispatched because of it.
+    fn run(&mut self, number: u16, action: impl FnOnce(&mut Process) -> Vec<Effect>) {
+        let mut effects = action(&mut self.processes[usize::from(number)]);
         while !effects.is_empty() {
             let process = &mut self.processes[usize::from(number)];
             let now = process.now.steady;
             let mut next = Vec::new();
             for start in starts(&effects) {
                 next.extend(process.end(start.ticket, Outcome::Done));
-                let prompt = self.waiting.remove(&(number, start.ticket)).expect("it was asked");
+                let prompt =
+                    self.waiting.remove(&(number, start.ticket)).expect("the request was sent");
                 *self.served.entry(prompt).or_default() += 1;
                 self.dispatched.push_back((now, f64::from(prompt)));
             }
@@ -243,78 +250,89 @@
             self.dispatched.pop_front();
         }
         let sum = self.dispatched.iter().map(|(_, units)| units).sum();
-        self.worst = self.worst.max(sum);
+        self.max_window_units = self.max_window_units.max(sum);
     }
 
-    /// Lets the time of one step pass, in which all that can hear each other do.
-    fn pass(&mut self, number: u64) {
-        self.wait();
+    /// Lets the time of one step pass, in which all connected processes exchange rows.
+    fn pass_with_exchange(&mut self, number: u64) {
+        self.pass();
         self.exchange();
         if number.is_multiple_of(40) {
-            self.introduce();
+            self.register_all();
         }
     }
 
-    fn wait(&mut self) {
+    /// Lets the time of one step pass.
+    fn pass(&mut self) {
         for number in 0..PROCESSES {
-            self.tell(number, |process| process.pass(STEP));
+            self.run(number, |process| process.pass(STEP));
         }
     }
 
-    fn step(&mut self, number: u64, favoured: u16) {
-        self.wait();
+    /// Lets the time of one step pass while the account sends three times its limit.
+    fn overload(&mut self, number: u64, busiest: u16) {
+        self.pass();
         if number.is_multiple_of(2) {
             self.exchange();
         }
         if number.is_multiple_of(40) {
-            self.introduce();
+            self.register_all();
         }
-        // Three times of what the limit allows, most of it at one process.
+        // 760 units each 25 ms are three times the limit; most of them go to one process.
         for other in 0..PROCESSES {
-            self.ask(if number.is_multiple_of(3) { other } else { favoured }, 190);
+            self.send_request(if number.is_multiple_of(3) { other } else { busiest }, 190);
         }
     }
 }
 
-fn allowed() -> f64 {
-    let most = RATE * WINDOW.as_secs_f64() + RATE;
-    most * (1.0 + TOLERANCE.ratio) + TOLERANCE.slack
+/// Returns the most units that may be dispatched within a window.
+fn allowed_units() -> f64 {
+    let limit = RATE * WINDOW.as_secs_f64() + RATE;
+    limit * (1.0 + TOLERANCE.ratio) + TOLERANCE.slack
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
+    /// Guards against any order of faults in which an account's use exceeds its limit by more than the
+    /// tolerance.
     #[test]
-    fn no_window_holds_more_than_the_limit_allows(
-        scenes in proptest::collection::vec(scene(), 1..6),
+    fn use_in_any_window_stays_within_the_limit_under_random_faults(
+        phases in proptest::collection::vec(phase(), 1..6),
     ) {
         let mut fleet = fleet();
-        fleet.introduce();
+        fleet.register_all();
         let mut steps = 0;
-        for scene in scenes {
-            fleet.strike(scene.fault);
-            for _ in 0..scene.steps {
+        for phase in phases {
+            fleet.inject(phase.fault);
+            for _ in 0..phase.steps {
                 steps += 1;
-                fleet.step(steps, scene.favoured);
+                fleet.overload(steps, phase.busiest);
             }
         }
-        prop_assert!(fleet.worst <= allowed(), "{} of {}", fleet.worst, allowed());
+        prop_assert!(
+            fleet.max_window_units <= allowed_units(),
+            "{} of {}",
+            fleet.max_window_units,
+            allowed_units()
+        );
     }
 }
 
+/// Guards against refusals of an account below its limit whose requests all arrive at one process.
 #[test]
-fn nothing_below_the_limit_is_refused_while_all_are_heard() {
+fn nothing_below_the_limit_is_refused_while_all_processes_are_connected() {
     let mut fleet = fleet();
-    fleet.introduce();
+    fleet.register_all();
     for step in 0..40 {
-        fleet.step(step * 2, 0);
+        fleet.overload(step * 2, 0);
     }
     let before = fleet.dispatched.len();
 
     for step in 1..=400_u64 {
-        fleet.pass(step);
-        // 190 units each 25 ms are 0.76 of the limit; all of them come to one process.
-        fleet.ask(2, 190);
+        fleet.pass_with_exchange(step);
+        // 190 units each 25 ms are 0.76 of the limit; all of them go to one process.
+        fleet.send_request(2, 190);
     }
 
     let window = usize::try_from(WINDOW.as_millis() / STEP.as_millis()).expect("a small number");
@@ -322,97 +340,113 @@
     assert!(fleet.dispatched.len() >= window, "{} of {window}", fleet.dispatched.len());
 }
 
-/// Incident: after two processes hadn't heard each other for a while, accounts were refused far below
-/// their limits by all processes.
+/// Guards against an incident: after the connection between two processes had been cut for a while, all
+/// processes refused accounts far below their limits.
 #[test]
-fn what_all_used_below_the_limit_while_two_did_not_hear_each_other_is_not_owed_afterwards() {
+fn use_below_the_limit_while_two_processes_were_cut_apart_is_not_charged_afterwards() {
     let mut fleet = fleet();
-    fleet.introduce();
-    (0..400).for_each(|step| fleet.pass(step));
-    fleet.strike(Fault::Cut(0, 1));
+    fleet.register_all();
+    (0..400).for_each(|step| fleet.pass_with_exchange(step));
+    fleet.inject(Fault::CutPair(0, 1));
     for step in 400..800_u64 {
-        fleet.pass(step);
+        fleet.pass_with_exchange(step);
         // 0.6 of the limit, the same at each process.
-        fleet.ask((step % 4) as u16, 150);
+        fleet.send_request((step % 4) as u16, 150);
     }
-    fleet.strike(Fault::Heal);
+    fleet.inject(Fault::Heal);
     fleet.served.clear();
 
     for step in 800..880_u64 {
-        fleet.pass(step);
-        // 0.6 of the limit; all of it at one process that was heard by all.
-        fleet.ask(2, 150);
+        fleet.pass_with_exchange(step);
+        // 0.6 of the limit; all of it at one process that stayed connected to all others.
+        fleet.send_request(2, 150);
     }
 
     let served = fleet.served.get(&150).copied().unwrap_or_default();
     assert_eq!(served, 80);
 }
 
-/// Incident: while two processes of many didn't hear each other, as after each start of one, all of them
-/// refused what lay beyond an equal part of their accounts' limits.
+/// Guards against an incident: while two processes of many weren't connected, as after each start of a
+/// process, every process refused requests beyond its equal part of their accounts' limits.
 #[test]
-fn one_that_is_heard_by_all_shares_what_is_left_while_two_others_do_not_hear_each_other() {
+fn a_process_connected_to_all_uses_more_than_its_part_while_two_others_are_cut_apart() {
     let mut fleet = fleet();
-    fleet.introduce();
-    (0..400).for_each(|step| fleet.pass(step));
-    fleet.strike(Fault::Cut(0, 3));
+    fleet.register_all();
+    (0..400).for_each(|step| fleet.pass_with_exchange(step));
+    fleet.inject(Fault::CutPair(0, 3));
 
     for step in 400..800_u64 {
-        fleet.pass(step);
-        // 0.76 of the limit; all of it comes to one process.
-        fleet.ask(2, 190);
+        fleet.pass_with_exchange(step);
+        // 0.76 of the limit; all of it goes to one process.
+        fleet.send_request(2, 190);
     }
 
     let served = fleet.served.get(&190).copied().unwrap_or_default();
     assert_eq!(served, 400);
 }
 
+/// Guards against a process that is cut off from its peers, but not from the platform, and takes them for
+/// gone: it would use their parts of the limit while they use them too.
 #[test]
-fn one_that_is_alive_elsewhere_is_never_taken_for_gone() {
+fn a_peer_that_still_registers_at_the_platform_counts_as_active() {
     let mut fleet = fleet();
-    fleet.introduce();
-    fleet.strike(Fault::Cut(0, 1));
-    fleet.strike(Fault::Cut(0, 2));
-    fleet.strike(Fault::Cut(0, 3));
+    fleet.register_all();
+    fleet.inject(Fault::CutPair(0, 1));
+    fleet.inject(Fault::CutPair(0, 2));
+    fleet.inject(Fault::CutPair(0, 3));
     let steps = (GONE * 3).as_millis() / STEP.as_millis();
 
     for step in 0..u64::try_from(steps).expect("a small number") {
-        fleet.step(step, 0);
+        fleet.overload(step, 0);
     }
 
     assert!(fleet.processes[0].state.is_lonely(fleet.processes[0].now.steady));
-    assert!(fleet.worst <= allowed(), "{} of {}", fleet.worst, allowed());
+    assert!(
+        fleet.max_window_units <= allowed_units(),
+        "{} of {}",
+        fleet.max_window_units,
+        allowed_units()
+    );
 }
 
+/// Guards against two processes that both use the part of a third, which is connected to both, while
+/// neither receives the other's rows.
 #[test]
-fn two_that_a_third_hears_but_not_each_other_do_not_both_take_what_is_left() {
+fn two_processes_cut_apart_do_not_both_use_the_part_of_a_third() {
     let mut fleet = fleet();
-    fleet.introduce();
-    fleet.step(2, 0);
-    fleet.strike(Fault::Cut(0, 1));
+    fleet.register_all();
+    fleet.overload(2, 0);
+    fleet.inject(Fault::CutPair(0, 1));
 
     for step in 0..800_u64 {
-        fleet.pass(step);
+        fleet.pass_with_exchange(step);
         for process in [0, 1, 0, 1] {
-            fleet.ask(process, 190);
+            fleet.send_request(process, 190);
         }
     }
 
-    assert!(fleet.worst <= allowed(), "{} of {}", fleet.worst, allowed());
+    assert!(
+        fleet.max_window_units <= allowed_units(),
+        "{} of {}",
+        fleet.max_window_units,
+        allowed_units()
+    );
 }
 
+/// Guards against small requests that take all units of a nearly empty bucket, so that large ones never
+/// find enough.
 #[test]
 fn beyond_the_limit_large_requests_are_served_as_often_as_small_ones() {
     let mut fleet = fleet();
-    fleet.introduce();
+    fleet.register_all();
 
     let sizes = [50, 400];
     for step in 1..=2_400_u64 {
-        fleet.pass(step);
-        // Both sizes together are 1.8 times of the limit, and neither always comes first.
+        fleet.pass_with_exchange(step);
+        // Both sizes together are 1.8 times the limit, and neither always arrives first.
         let first = usize::from(step % 5 < 2);
         for size in [first, 1 - first] {
-            fleet.ask(1, sizes[size]);
+            fleet.send_request(1, sizes[size]);
         }
     }
 
@@ -420,67 +454,81 @@
     assert!(large * 4 >= small * 3, "{large} large, {small} small");
 }
 
+/// Guards against processes that get units at each restart beyond those that the limit allows.
 #[test]
-fn restarts_in_turn_add_nothing_to_what_an_account_may_use() {
-    let mut fleet = hot_fleet();
+fn restarts_in_turn_let_no_account_exceed_its_limit() {
+    let mut fleet = overloaded_fleet();
 
     for step in 0..800_u64 {
-        // One process every 300 ms: each starts 13 times.
+        // One process restarts every 300 ms, so each of the four restarts about 17 times.
         if step.is_multiple_of(12) {
-            fleet.strike(Fault::Restart(u16::try_from(step / 12 % 4).expect("a small number")));
+            fleet.inject(Fault::Restart(u16::try_from(step / 12 % 4).expect("a small number")));
         }
-        fleet.step(step, u16::try_from(step / 12 % 4).expect("a small number"));
+        fleet.overload(step, u16::try_from(step / 12 % 4).expect("a small number"));
     }
 
-    assert!(fleet.worst <= allowed(), "{} of {}", fleet.worst, allowed());
+    assert!(
+        fleet.max_window_units <= allowed_units(),
+        "{} of {}",
+        fleet.max_window_units,
+        allowed_units()
+    );
 }
 
+/// Guards against refusals just after a start, when buckets are empty, of requests that would get their
+/// units within their wait.
 #[test]
-fn after_a_kill_of_all_what_comes_within_its_wait_is_kept_and_served() {
+fn after_a_restart_of_all_processes_requests_below_the_limit_wait_and_are_served() {
     let mut fleet = fleet();
-    fleet.introduce();
+    fleet.register_all();
     for step in 0..400 {
-        fleet.pass(step);
+        fleet.pass_with_exchange(step);
     }
-    fleet.strike(Fault::RestartAll);
+    fleet.inject(Fault::RestartAll);
     fleet.served.clear();
 
-    // Half of the limit's rate, in requests of a fortieth of a second's units each.
+    // 125 units each 25 ms are half of the limit.
     for step in 0..40_u64 {
-        fleet.pass(step);
-        fleet.ask(u16::try_from(step % 4).expect("a small number"), 125);
+        fleet.pass_with_exchange(step);
+        fleet.send_request(u16::try_from(step % 4).expect("a small number"), 125);
     }
 
     let served = fleet.served.get(&125).copied().unwrap_or_default();
     assert!(served >= 36, "{served} of 40");
 }
 
+/// Guards against extra units after a start that add up over repeated restarts within one window.
 #[test_case(3; "three")]
 #[test_case(6; "six")]
 #[test_case(12; "twelve")]
-fn kills_of_all_in_a_row_let_no_more_through_than_the_limit_allows(times: u64) {
-    let mut fleet = hot_fleet();
-    // What is left is as much as can be.
-    (0..400).for_each(|step| fleet.pass(step));
+fn repeated_restarts_of_all_processes_let_no_account_exceed_its_limit(times: u64) {
+    let mut fleet = overloaded_fleet();
+    // Without requests, all buckets fill up.
+    (0..400).for_each(|step| fleet.pass_with_exchange(step));
 
     for step in 0..400_u64 {
-        // Within one window, without any time in which nothing runs.
+        // All restarts fall within one window, and requests arrive all the time.
         if step >= 40 && (step - 40).is_multiple_of(260 / times) && step < 300 {
-            fleet.strike(Fault::RestartAll);
+            fleet.inject(Fault::RestartAll);
         }
-        fleet.step(step, 0);
+        fleet.overload(step, 0);
     }
 
-    assert!(fleet.worst <= allowed(), "{} of {}", fleet.worst, allowed());
+    assert!(
+        fleet.max_window_units <= allowed_units(),
+        "{} of {}",
+        fleet.max_window_units,
+        allowed_units()
+    );
 }
 
-/// Incident: units that one process took and gave back, since its requests found no room, stayed charged at
-/// all others, which refused their account far below its limit.
+/// Guards against an incident: units that one process took and returned, because its requests found no
+/// free target, stayed charged at all other processes, which refused the account far below its limit.
 #[test]
 fn units_that_another_process_gave_back_are_not_counted_as_used() {
-    let crowded = Part { pool: "crowded".into(), weight: 1 };
-    let crowded = Route { parts: vec![crowded], ..route("/b/", Repeat::Safe) };
-    let plan = Arc::new(plan(1, vec![route("/a/", Repeat::Safe), crowded], Some(limit(RATE))));
+    let no_targets = Part { pool: "no-targets".into(), weight: 1 };
+    let no_targets = Route { parts: vec![no_targets], ..route("/b/", Repeat::Safe) };
+    let plan = Arc::new(plan(1, vec![route("/a/", Repeat::Safe), no_targets], Some(limit(RATE))));
     let mut processes = [1, 2].map(blank);
     for process in &mut processes {
         process.send(Event::Planned(Arc::clone(&plan)));
@@ -497,38 +545,42 @@
         let [of_first, of_second] = rows;
         [first.send(Event::Heard(vec![of_second])), second.send(Event::Heard(vec![of_first]))]
     };
-    let sized = |ticket, path, prompt| {
+    let request_with_tokens = |ticket, path, prompt| {
         let tokens = Some(Tokens { prompt, output: 0 });
         direct::Request { tokens, ..request(ticket, path) }
     };
     (0..20).for_each(|_| drop(pass(&mut processes, Duration::from_millis(200))));
 
-    // Nearly twice the burst at a time, for which there is no room.
+    // Bursts of 18,000 units, nearly twice the account's burst, to a pool without targets.
     for ticket in 0..200 {
-        processes[0].arrive(sized(ticket, "/b/", 900));
+        processes[0].arrive(request_with_tokens(ticket, "/b/", 900));
         if ticket % 20 == 19 {
             (0..4).for_each(|_| drop(pass(&mut processes, Duration::from_millis(200))));
         }
     }
-    let asked = (200..220).flat_map(|ticket| processes[1].arrive(sized(ticket, "/a/", 190)));
+    let effects =
+        (200..220).flat_map(|ticket| processes[1].arrive(request_with_tokens(ticket, "/a/", 190)));
 
-    assert_eq!(starts(&asked.collect::<Vec<Effect>>()).len(), 20);
+    assert_eq!(starts(&effects.collect::<Vec<Effect>>()).len(), 20);
 }
 
+/// Guards against requests that wait for units for most of their time and are refused when it is too late
+/// for their callers to retry.
 #[test]
-fn what_would_wait_for_most_of_its_time_is_told_at_once_when_to_come_back() {
-    // An aim of 800 ms gives a wait of 600 ms, of which 240 may pass for units: those of two requests.
+fn a_request_that_would_wait_too_long_for_units_is_refused_at_once_with_a_retry_time() {
+    // A target latency of 800 ms gives a longest wait of 600 ms, of which 240 ms may pass while a request
+    // waits for units: the time that the units of two requests take.
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
     let mut process = direct_support::process(plan, targets(99));
-    let ask = |ticket| {
+    let request = |ticket| {
         let tokens = Some(Tokens { prompt: 100, output: 0 });
-        direct::Request { tokens, ..request(ticket, "/a/") }
+        direct::Request { tokens, ..direct_support::request(ticket, "/a/") }
     };
 
-    let effects: Vec<Effect> = (0..40).flat_map(|ticket| process.arrive(ask(ticket))).collect();
+    let effects: Vec<Effect> = (0..40).flat_map(|ticket| process.arrive(request(ticket))).collect();
 
     let (started, refused) = (starts(&effects).len(), refusals(&effects));
     assert_eq!(started + 2 + refused.len(), 40);
-    let wait = refused[0].1.retry_after.expect("it says when to come back");
+    let wait = refused[0].1.retry_after.expect("the refusal states a retry time");
     assert!(wait > Duration::from_millis(240) && wait <= Duration::from_millis(340), "{wait:?}");
 }
