--- a/components/scheduler/tests/direct_crashes.rs
+++ b/components/scheduler/tests/direct_crashes.rs
@@ -1,4 +1,4 @@
-//! Bodies that crash targets, counted over entry processes that are killed.
+//! Counts of request bodies that crash targets, shared by entry processes, some of which are killed.
 
 mod direct_support;
 
@@ -14,21 +14,23 @@
     relay::Topic,
 };
 
-/// Time from a crash after which all processes have to know of it: the shortest in which a process that
-/// was disturbed counts as well again.
-const KNOWN: Duration = Duration::from_secs(3);
-/// Time between two exchanges of a process.
-const EXCHANGE: Duration = Duration::from_millis(10);
-/// Most fetches a second: of 100 bodies, which are 3 KB, they take a hundredth of 10 Mbit/s.
-const FETCHES: usize = 4;
-/// Bytes by which what is told with an exchange may grow, as numbers in it do.
-const DIGITS: usize = 64;
-
-fn entry(number: u16, incarnation: u64, like: &Process) -> Process {
+/// Time after a crash within which all processes must have its count: the shortest time within which a
+/// process must have recovered from a fault.
+const MAX_SPREAD_TIME: Duration = Duration::from_secs(3);
+/// Time between two exchanges of a process with any of the others.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of fetches of crash counts that a process may start in a second. Counts of 100 bodies
+/// are 3 KB, so these fetches take a hundredth of a link of 10 Mbit/s.
+const MAX_FETCHES_PER_SECOND: usize = 4;
+/// Maximum number of bytes by which a row and an offer may grow together: the numbers in them get longer.
+const MAX_GROWTH_BYTES: usize = 64;
+
+/// Returns a process with a configuration and targets, whose clock is that of `clock`.
+fn entry(number: u16, incarnation: u64, clock: &Process) -> Process {
     let mut settings = settings(number);
     settings.incarnation = incarnation;
-    let state = direct::open(like.now.steady, settings);
-    let mut entry = Process { state, now: like.now, ..blank(number) };
+    let state = direct::open(clock.now.steady, settings);
+    let mut entry = Process { state, now: clock.now, ..blank(number) };
     entry.send(Event::Planned(plan(1, vec![route("/a/", Repeat::Safe)], None).into()));
     entry.confirm();
     entry.list(targets(9));
@@ -40,25 +42,27 @@
     (1..=count).map(|number| entry(number, 1, &clock)).collect()
 }
 
-fn poison(ticket: Ticket, body: u16) -> Request {
+/// Returns a request whose fingerprint depends on the number of its body only.
+fn request_with_body(ticket: Ticket, body: u16) -> Request {
     let mut fingerprint = [9; 16];
     fingerprint[..2].copy_from_slice(&body.to_le_bytes());
     Request { fingerprint, ..request(ticket, "/a/") }
 }
 
-/// A target dies with the body.
-fn crash(entry: &mut Process, ticket: Ticket, body: u16) {
-    let target = start(&entry.arrive(poison(ticket, body))).target;
+/// Dispatches a request with a body that crashes its target; the target is used again afterwards.
+fn crash_target(entry: &mut Process, ticket: Ticket, body: u16) {
+    let target = start(&entry.arrive(request_with_body(ticket, body))).target;
     entry.end(ticket, Outcome::Lost { crashed: true });
     entry.send(Event::Left { ticket, events: 0 });
     entry.send(Event::Probed { target, reached: false });
-    // It is up again.
+    // After this time the target is no longer marked as down.
     entry.pass(Duration::from_secs(2));
     entry.confirm();
 }
 
-/// One exchange, in which an entry hears what the other has.
-fn hear(entry: &mut Process, other: &mut Process) -> Vec<Topic> {
+/// Lets a process receive the other's row and offer and fetch the topics in which the other is ahead,
+/// which are returned.
+fn receive_from(entry: &mut Process, other: &mut Process) -> Vec<Topic> {
     let row = other.state.row(other.now.steady);
     entry.send(Event::Heard(vec![row]));
     let (topics, _) = entry.hear_offer(other);
@@ -67,84 +71,86 @@
 }
 
 fn is_refused(entry: &mut Process, ticket: Ticket, body: u16) -> bool {
-    let effects = entry.arrive(poison(ticket, body));
+    let effects = entry.arrive(request_with_body(ticket, body));
     starts(&effects).is_empty() && !refusals(&effects).is_empty()
 }
 
-/// Bytes that an entry tells with each exchange.
-fn told(entry: &mut Process) -> usize {
+/// Returns the size in bytes of the row and the offer that a process sends in each exchange.
+fn exchange_size(entry: &mut Process) -> usize {
     let row = entry.state.row(entry.now.steady);
     let offer = entry.state.offer(entry.now);
-    serde_json::to_vec(&(row, offer)).expect("it can be packed").len()
+    serde_json::to_vec(&(row, offer)).expect("a row and an offer can be packed").len()
 }
 
+/// Guards against a body that crashes targets once through each process.
 #[test]
-fn a_body_that_another_process_saw_crash_targets_is_refused() {
+fn a_body_that_crashed_targets_of_another_process_is_refused() {
     let [mut one, mut other] = <[Process; 2]>::try_from(entries(2)).ok().expect("two");
-    (1..=2).for_each(|ticket| crash(&mut one, ticket, 0));
+    (1..=2).for_each(|ticket| crash_target(&mut one, ticket, 0));
 
-    hear(&mut other, &mut one);
+    receive_from(&mut other, &mut one);
 
     assert!(is_refused(&mut other, 1, 0));
 }
 
-/// Guards against crashes that are forgotten everywhere once the process that saw them is killed.
+/// Guards against counts that are lost everywhere once the process that saw the crashes is killed.
 #[test]
-fn crashes_are_known_after_the_process_that_saw_them_is_killed() {
+fn crash_counts_outlive_the_process_that_saw_the_crashes() {
     let [mut one, mut other] = <[Process; 2]>::try_from(entries(2)).ok().expect("two");
-    (1..=2).for_each(|ticket| crash(&mut one, ticket, 0));
-    hear(&mut other, &mut one);
-    let mut again = entry(1, 2, &one);
+    (1..=2).for_each(|ticket| crash_target(&mut one, ticket, 0));
+    receive_from(&mut other, &mut one);
+    let mut restarted = entry(1, 2, &one);
 
-    hear(&mut other, &mut again);
-    hear(&mut again, &mut other);
+    receive_from(&mut other, &mut restarted);
+    receive_from(&mut restarted, &mut other);
 
-    assert!(is_refused(&mut other, 1, 0), "by the one that lives");
-    assert!(is_refused(&mut again, 1, 0), "by the one that started again");
+    assert!(is_refused(&mut other, 1, 0), "by the process that kept running");
+    assert!(is_refused(&mut restarted, 1, 0), "by the process that restarted");
 }
 
 /// Guards against rows that grow with all bodies that ever crashed a target until they fill the links.
 #[test]
-fn what_each_exchange_tells_does_not_grow_with_the_crashes() {
+fn rows_and_offers_do_not_grow_with_the_number_of_crashes() {
     let [mut one, mut other] = <[Process; 2]>::try_from(entries(2)).ok().expect("two");
-    hear(&mut other, &mut one);
-    hear(&mut one, &mut other);
-    let before = [told(&mut one), told(&mut other)];
+    receive_from(&mut other, &mut one);
+    receive_from(&mut one, &mut other);
+    let before = [exchange_size(&mut one), exchange_size(&mut other)];
 
-    (0..50).for_each(|body| crash(&mut one, u64::from(body) + 1, body));
-    hear(&mut other, &mut one);
-    let after = [told(&mut one), told(&mut other)];
+    (0..50).for_each(|body| crash_target(&mut one, u64::from(body) + 1, body));
+    receive_from(&mut other, &mut one);
+    let after = [exchange_size(&mut one), exchange_size(&mut other)];
 
     for (before, after) in before.into_iter().zip(after) {
-        assert!(after <= before + DIGITS, "{before} bytes before, {after} after");
+        assert!(after <= before + MAX_GROWTH_BYTES, "{before} bytes before, {after} after");
     }
 }
 
-/// Guards against counts that come over again and again while many targets die at once, and against some
-/// that don't come over.
+/// Guards against counts that are fetched again and again while many targets crash at once, and against
+/// counts that don't reach all processes.
 #[test]
-fn crashes_at_many_processes_are_soon_known_to_all_and_fetched_seldom() {
+fn crash_counts_of_many_processes_reach_all_soon_with_few_fetches() {
     const ENTRIES: usize = 31;
     let mut entries = entries(ENTRIES as u16);
-    // Each body crashes one target at one process and one at the next.
-    for (place, entry) in entries.iter_mut().enumerate() {
-        crash(entry, 1, place as u16);
-        crash(entry, 2, (place + 1) as u16 % ENTRIES as u16);
+    // Each body crashes one target of one process and one target of the next process.
+    for (index, entry) in entries.iter_mut().enumerate() {
+        crash_target(entry, 1, index as u16);
+        crash_target(entry, 2, (index + 1) as u16 % ENTRIES as u16);
     }
 
-    let rounds = KNOWN.div_duration_f64(EXCHANGE) as usize;
+    let rounds = MAX_SPREAD_TIME.div_duration_f64(EXCHANGE_INTERVAL) as usize;
     let mut fetched = 0;
     for round in 0..rounds {
-        for place in 0..ENTRIES {
-            let other = (place + 1 + round % (ENTRIES - 1)) % ENTRIES;
+        for index in 0..ENTRIES {
+            let other = (index + 1 + round % (ENTRIES - 1)) % ENTRIES;
             let offer = entries[other].state.offer(entries[other].now);
             let peer = entries[other].address;
-            let mut effects = entries[place].pass(EXCHANGE);
-            effects.extend(entries[place].send(Event::Offered { peer, offer }));
+            let mut effects = entries[index].pass(EXCHANGE_INTERVAL);
+            effects.extend(entries[index].send(Event::Offered { peer, offer }));
             for (peer, topic) in fetches(&effects) {
-                let place_of = |entry: &Process| entry.address == peer;
-                let other = entries.iter().position(place_of).expect("it is one of them");
-                let [entry, other] = entries.get_disjoint_mut([place, other]).expect("two of them");
+                let is_peer = |entry: &Process| entry.address == peer;
+                let other = entries.iter().position(is_peer).expect("the peer is an entry");
+                let [entry, other] =
+                    entries.get_disjoint_mut([index, other]).expect("two different entries");
                 entry.fetch(other, topic);
                 fetched += usize::from(topic == Topic::Crashes);
             }
@@ -156,37 +162,37 @@
             (0..ENTRIES as u16).filter(|&body| is_refused(entry, 100 + u64::from(body), body));
         assert_eq!(refused.count(), ENTRIES);
     }
-    let most = ENTRIES * FETCHES * KNOWN.as_secs() as usize;
-    assert!(fetched <= most, "{fetched} fetches");
+    let max_fetches = ENTRIES * MAX_FETCHES_PER_SECOND * MAX_SPREAD_TIME.as_secs() as usize;
+    assert!(fetched <= max_fetches, "{fetched} fetches");
 }
 
-/// Guards against counts that processes tell each other for ever.
+/// Guards against counts that never expire because processes send them to each other again and again.
 #[test]
-fn crashes_of_long_ago_are_forgotten_by_all() {
+fn old_crash_counts_expire_at_all_processes() {
     let [mut one, mut other] = <[Process; 2]>::try_from(entries(2)).ok().expect("two");
-    (1..=2).for_each(|ticket| crash(&mut one, ticket, 0));
-    hear(&mut other, &mut one);
+    (1..=2).for_each(|ticket| crash_target(&mut one, ticket, 0));
+    receive_from(&mut other, &mut one);
 
     for _ in 0..1_300 {
         one.pass(Duration::from_millis(500));
         other.pass(Duration::from_millis(500));
-        hear(&mut other, &mut one);
-        hear(&mut one, &mut other);
+        receive_from(&mut other, &mut one);
+        receive_from(&mut one, &mut other);
     }
 
     assert_eq!(one.state.known().crashes, other.state.known().crashes);
     assert_eq!(one.state.known().crashes, 0);
 }
 
-/// Guards against bodies that are refused since a process had no way to a target that is well.
+/// Guards against bodies that are refused because a process could not connect to a target that is alive.
 #[test]
-fn a_target_that_was_reached_after_an_answer_broke_off_is_not_held_to_have_died() {
+fn a_broken_answer_counts_no_crash_if_its_target_took_a_connection_afterwards() {
     let mut entry = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(4));
     for ticket in 1..=2 {
-        let target = start(&entry.arrive(poison(ticket, 0))).target;
+        let target = start(&entry.arrive(request_with_body(ticket, 0))).target;
         entry.end(ticket, Outcome::Lost { crashed: true });
         entry.send(Event::Probed { target: target.clone(), reached: true });
-        // Others that the same target has find no way to it.
+        // Another request is dispatched to the same target, and the connection fails.
         let mut other = 10 * ticket;
         while start(&entry.arrive(request(other, "/a/"))).target != target {
             other += 1;
@@ -198,15 +204,15 @@
         entry.pass(Duration::from_millis(500));
     }
 
-    let effects = entry.arrive(poison(3, 0));
+    let effects = entry.arrive(request_with_body(3, 0));
 
     assert!(refusals(&effects).is_empty(), "{effects:?}");
     assert_eq!(starts(&effects).len(), 1);
 }
 
-/// Guards against rows that tell of each account that ever asked for something, of whichever process.
+/// Guards against rows that contain every account that ever sent a request, through any process.
 #[test]
-fn what_each_exchange_tells_does_not_grow_with_the_accounts_that_ever_asked() {
+fn rows_do_not_grow_with_the_accounts_that_ever_sent_requests() {
     let mut plan = plan(1, vec![route("/a/", Repeat::Never)], Some(limit(1e6)));
     for number in 0..500 {
         let name = format!("account-{number}");
@@ -215,23 +221,23 @@
         plan.keys.insert(format!("key-{number}").as_str().into(), name.as_str().into());
     }
     let mut entry = process(plan, targets(4));
-    let told = |entry: &mut Process| {
+    let row_size = |entry: &mut Process| {
         let row = entry.state.row(entry.now.steady);
-        serde_json::to_vec(&row).expect("it can be packed").len()
+        serde_json::to_vec(&row).expect("a row can be packed").len()
     };
-    let before = told(&mut entry);
+    let before = row_size(&mut entry);
 
     for ticket in 0..500 {
         entry.arrive(Request { key: Some(format!("key-{ticket}")), ..request(ticket, "/a/") });
         entry.end(ticket, Outcome::Done);
         entry.confirm();
     }
-    // All that they used is there again.
+    // In this time the buckets of all accounts fill up again.
     for _ in 0..600 {
         entry.pass(Duration::from_secs(1));
         entry.confirm();
     }
-    let after = told(&mut entry);
+    let after = row_size(&mut entry);
 
     assert!(after < before + 1_000, "{before} bytes before, {after} after");
 }
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -1,7 +1,8 @@
-//! What entry processes tell each other of themselves.
+//! Size of the rows that entry processes exchange, for many processes that started together on links of
+//! 10 Mbit/s.
 //!
-//! Pattern: many processes that started together, on links of 10 Mbit/s. All rows of 26 take 13 KB; told
-//! to or by all in the same exchange they fill such a link for a quarter of a second, every 5 s.
+//! All rows of 26 processes take 13 KB. If one process sent them to all others in the same exchange, or
+//! received them from all, they would fill such a link for a quarter of a second every 5 s.
 
 mod direct_support;
 
@@ -11,15 +12,15 @@
 use scheduler::direct::{Event, peers, peers::Row};
 use test_case::test_case;
 
-/// Exchanges in which each pair tells all rows once.
-const ROUND: u64 = 20;
-/// Bytes a second of the narrowest link of a host in one direction: 10 Mbit/s.
-const NARROW: f64 = 1.25e6;
+/// Number of exchanges in which each process sends all rows once to each other process.
+const EXCHANGES_PER_CYCLE: u64 = 20;
+/// Capacity of the narrowest link of a host in one direction, in bytes a second: 10 Mbit/s.
+const NARROW_LINK: f64 = 1.25e6;
 
-/// Processes that hear each other and have no request.
+/// Returns idle processes that have current rows of each other.
 fn processes(count: u16) -> Vec<Process> {
     let mut processes: Vec<Process> = (1..=count).map(blank).collect();
-    // Only who was heard is named in what is told to others.
+    // A row lists only processes whose rows had arrived before, so it takes two rounds.
     for _ in 0..2 {
         let rows: Vec<Row> = processes.iter_mut().map(|it| it.state.row(it.now.steady)).collect();
         for process in &mut processes {
@@ -29,67 +30,72 @@
     processes
 }
 
-/// Bytes of rows as they are told.
-fn size(rows: &[Row]) -> usize {
-    postcard::to_stdvec(rows).expect("they can be packed").len()
+/// Returns the size of rows in bytes, packed as they are sent.
+fn packed_size(rows: &[Row]) -> usize {
+    postcard::to_stdvec(rows).expect("rows can be packed").len()
 }
 
+/// Guards against a process that sends all rows to many others in one exchange, and so fills its own link.
 #[test_case(4, 1)]
 #[test_case(25, 2)]
 #[test_case(300, 15)]
-fn all_rows_are_told_to_few_in_one_exchange_and_to_each_in_turn(others: usize, most: usize) {
-    let mut told = vec![0; others];
+fn a_process_sends_all_rows_to_few_in_one_exchange_and_to_each_in_turn(
+    others: usize,
+    max_receivers: usize,
+) {
+    let mut times_sent = vec![0; others];
 
-    for exchange in 7..7 + ROUND {
-        let places: Vec<usize> =
+    for exchange in 7..7 + EXCHANGES_PER_CYCLE {
+        let receivers: Vec<usize> =
             (0..others).filter(|&other| peers::tells_all(exchange, 3, other)).collect();
-        assert!(places.len() <= most, "{places:?}");
-        places.into_iter().for_each(|place| told[place] += 1);
+        assert!(receivers.len() <= max_receivers, "{receivers:?}");
+        receivers.into_iter().for_each(|receiver| times_sent[receiver] += 1);
     }
 
-    assert_eq!(told, vec![1; others]);
+    assert_eq!(times_sent, vec![1; others]);
 }
 
-/// Incident: processes that had started together told all rows to the same one in the same exchange. Its
-/// link was full for so long that it answered none of them.
+/// Guards against an incident: processes that had started together all sent all rows to the same process
+/// in the same exchange. Its link was full for so long that it answered none of them.
 #[test_case(5, 1)]
 #[test_case(31, 2)]
 #[test_case(68, 4)]
 #[test_case(301, 15)]
-fn one_is_told_all_rows_by_few_in_the_same_exchange_of_all(processes: usize, most: usize) {
-    for exchange in 7..7 + ROUND {
-        for told in 1..processes {
-            // Each tells those after it, which don't count it among the others.
-            let tell = |&own: &usize| peers::tells_all(exchange, own, told - 1);
+fn a_process_gets_all_rows_from_few_in_the_same_exchange(processes: usize, max_senders: usize) {
+    for exchange in 7..7 + EXCHANGES_PER_CYCLE {
+        for receiver in 1..processes {
+            // A process exchanges with those of higher addresses. Its own address isn't among those that
+            // it knows, so the index of the receiver is one lower there.
+            let sends_all = |&own: &usize| peers::tells_all(exchange, own, receiver - 1);
 
-            let tellers = (0..told).filter(tell).count();
+            let senders = (0..receiver).filter(sends_all).count();
 
-            assert!(tellers <= most, "{tellers} tell {told} in exchange {exchange}");
+            assert!(senders <= max_senders, "{senders} send {receiver} all in exchange {exchange}");
         }
     }
 }
 
-/// Incident: what processes told each other filled the links of small hosts, over which a confirmed
-/// configuration has to come. Exchanges were bounded in number, not in bytes.
+/// Guards against an incident: the rows that processes exchanged filled the links of small hosts, over
+/// which a confirmed configuration has to arrive. Exchanges were limited in number, not in bytes.
 #[test_case(26)]
 #[test_case(68)]
 #[test_case(301)]
 fn rows_leave_room_on_a_narrow_link_for_a_configuration(count: u16) {
     let mut processes = processes(count);
     let others = usize::from(count) - 1;
-    let one = &mut processes[others / 2];
-    let own = size(&[one.state.row(one.now.steady)]);
-    let all = own + size(&one.state.rows(one.now.steady));
+    let process = &mut processes[others / 2];
+    let own_size = packed_size(&[process.state.row(process.now.steady)]);
+    let full_size = own_size + packed_size(&process.state.rows(process.now.steady));
 
-    // Each pair exchanges once a period; either side tells its own row or all.
-    let told = |exchange: u64| {
+    // Each pair exchanges once a period; either side sends its own row or all rows.
+    let sent = |exchange: u64| {
         let full = (0..others).filter(|&other| peers::tells_all(exchange, others / 2, other));
         let full = full.count();
-        full * all + (others - full) * own
+        full * full_size + (others - full) * own_size
     };
-    let told: usize = (0..ROUND).map(told).sum();
+    let sent: usize = (0..EXCHANGES_PER_CYCLE).map(sent).sum();
 
-    let time: Duration = peers::period(others) * ROUND as u32;
-    let rate = told as f64 / time.as_secs_f64();
-    assert!(rate < NARROW, "{rate:.0} bytes a second of {NARROW}");
+    let time: Duration = peers::period(others) * EXCHANGES_PER_CYCLE as u32;
+    let rate = sent as f64 / time.as_secs_f64();
+    assert!(rate < NARROW_LINK, "{rate:.0} bytes a second of {NARROW_LINK}");
 }
--- a/components/scheduler/tests/direct_relay.rs
+++ b/components/scheduler/tests/direct_relay.rs
@@ -1,4 +1,5 @@
-//! What entry processes relay to each other of the configuration and the targets.
+//! Relay of the configuration and the list of targets between entry processes, also during outages of
+//! the platform.
 
 mod direct_support;
 
@@ -13,32 +14,34 @@
     relay::Topic,
 };
 
-/// Silence of the platform after which it is an outage.
-const SILENT: Duration = Duration::from_millis(2_900);
-/// An outage in which targets may be taken off the list.
+/// Time without an answer of the platform that counts as an outage: just above the longest that doesn't.
+const SHORT_OUTAGE: Duration = Duration::from_millis(2_900);
+/// Duration of an outage in which the platform may remove living targets from its list.
 const OUTAGE: Duration = Duration::from_millis(4_000);
-/// A longer one.
-const LONG: Duration = Duration::from_millis(6_000);
-/// Time after an outage in which living targets are listed again.
-const RETURN: Duration = Duration::from_millis(2_300);
-/// Time from the end of an outage on in which the platform lists living targets again.
-const LISTED_AGAIN: Duration = Duration::from_millis(2_000);
-/// Time for which a way must be back before what is known of leaving targets binds again.
-const STABLE: Duration = Duration::from_millis(3_000);
-/// Longest time from then until a process is answered: a connection that is begun just before is given up
-/// after 0.5 s, and the longest pause after that is 0.8 s.
-const HUNG: Duration = Duration::from_millis(1_300);
-/// Time in which a target that leaves must get no more requests.
-const DRAIN: Duration = Duration::from_millis(2_000);
-
-/// A route for all, and one for those with a key.
+/// Duration of a longer outage.
+const LONG_OUTAGE: Duration = Duration::from_millis(6_000);
+/// Time after an outage from which on targets that are missing from the list get no more requests.
+const RELIST_END: Duration = Duration::from_millis(2_300);
+/// Time after an outage within which the platform lists all living targets again.
+const RELIST_TIME: Duration = Duration::from_millis(2_000);
+/// Time for which the platform must be reachable again before a target that has left must get no more
+/// requests.
+const REACHABLE_TIME: Duration = Duration::from_millis(3_000);
+/// Longest time from the end of an outage until a process gets an answer: a connection attempt that began
+/// just before times out after 0.5 s, and the longest backoff after that is 0.8 s.
+const FIRST_ANSWER_DELAY: Duration = Duration::from_millis(1_300);
+/// Time after which a target that leaves must get no more requests.
+const LEAVE_TIME: Duration = Duration::from_millis(2_000);
+
+/// Returns a configuration with a route for keys (`/a/`) and a public one (`/open/`).
 fn routes(version: u64) -> Plan {
-    let mut open = route("/open/", Repeat::Safe);
-    open.public = true;
-    plan(version, vec![route("/a/", Repeat::Safe), open], None)
+    let mut public = route("/open/", Repeat::Safe);
+    public.public = true;
+    plan(version, vec![route("/a/", Repeat::Safe), public], None)
 }
 
-/// One that reads the platform's service, and one that has no way to it.
+/// Returns a process that read the configuration and two targets from the platform, and one that got
+/// nothing yet.
 fn pair() -> (Process, Process) {
     let reader = process(routes(7), targets(2));
     let mut other = blank(2);
@@ -46,15 +49,16 @@
     (reader, other)
 }
 
-/// One that knows a configuration only, at the time of another.
+/// Returns a process that has only a configuration, with the clock of `other`.
 fn with_plan(number: u16, other: &Process, version: u64) -> Process {
     let mut process = Process { now: other.now, ..blank(number) };
     process.send(Event::Planned(Arc::new(routes(version))));
     process
 }
 
+/// Guards against a process that can't serve since it can't reach the platform, though others can.
 #[test]
-fn a_process_without_the_platform_learns_the_configuration_of_another() {
+fn a_process_that_cannot_reach_the_platform_gets_the_configuration_from_a_peer() {
     let (reader, mut other) = pair();
 
     other.ask(&reader);
@@ -63,34 +67,38 @@
     assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
 }
 
+/// Guards against data that a process fetches back from the peer to which it relayed it.
 #[test]
-fn one_that_another_is_ahead_of_asks_it_for_what_it_lacks() {
+fn only_the_process_that_is_behind_fetches_data() {
     let (mut reader, mut other) = pair();
 
-    let (first, _) = other.hear_offer(&reader);
-    for &topic in &first {
+    let (fetched, _) = other.hear_offer(&reader);
+    for &topic in &fetched {
         other.fetch(&reader, topic);
     }
-    let (back, _) = reader.hear_offer(&other);
+    let (fetched_back, _) = reader.hear_offer(&other);
 
-    assert_eq!(first, [Topic::Targets, Topic::Plan]);
-    assert!(back.is_empty());
+    assert_eq!(fetched, [Topic::Targets, Topic::Plan]);
+    assert!(fetched_back.is_empty());
 }
 
-/// However many others are ahead, each topic comes over once.
+/// Guards against many copies of the same data that fill a narrow link: however many peers are ahead, each
+/// topic is fetched from one.
 #[test]
-fn of_all_that_are_ahead_one_is_asked_at_a_time() {
+fn each_topic_is_fetched_from_one_peer_at_a_time() {
     let (reader, mut other) = pair();
     let mut ahead = vec![reader];
     ahead.extend((3..28).map(|number| with_plan(number, &other, 7)));
 
-    let asked: Vec<Topic> = ahead.iter().flat_map(|process| other.hear_offer(process).0).collect();
+    let fetched: Vec<Topic> =
+        ahead.iter().flat_map(|process| other.hear_offer(process).0).collect();
 
-    assert_eq!(asked, [Topic::Targets, Topic::Plan]);
+    assert_eq!(fetched, [Topic::Targets, Topic::Plan]);
 }
 
+/// Guards against a process that waits for a peer which failed to send its data.
 #[test]
-fn one_that_gives_nothing_is_left_for_another() {
+fn after_a_failed_fetch_another_peer_is_asked() {
     let (first, mut other) = pair();
     let second = with_plan(3, &other, 7);
     other.hear_offer(&first);
@@ -102,8 +110,9 @@
     assert_eq!(fetches(&effects), [(second.address, Topic::Plan)]);
 }
 
+/// Guards against a configuration that is fetched several times, in one version after another.
 #[test]
-fn the_newest_that_is_offered_is_fetched() {
+fn the_newest_offered_configuration_is_fetched() {
     let (older, mut other) = pair();
     let newer = with_plan(3, &other, 9);
     let oldest = with_plan(4, &other, 6);
@@ -116,8 +125,9 @@
     assert_eq!(fetches(&effects), [(newer.address, Topic::Plan)]);
 }
 
+/// Guards against keys that are accepted by a relayed configuration which may be out of date.
 #[test]
-fn keys_count_only_by_what_a_process_read_itself() {
+fn requests_with_a_key_are_served_only_after_the_process_itself_reached_the_platform() {
     let (reader, mut other) = pair();
 
     other.ask(&reader);
@@ -128,14 +138,15 @@
     assert_eq!(starts(&other.arrive(request(2, "/a/"))).len(), 1);
 }
 
+/// Guards against requests to targets that left while only this process was cut off from the platform.
 #[test]
-fn without_the_platform_a_target_that_left_is_dropped_at_once() {
+fn a_target_that_a_peer_saw_leave_is_dropped_at_once() {
     let (mut reader, mut other) = pair();
     other.ask(&reader);
     other.confirm();
-    other.pass(SILENT);
+    other.pass(SHORT_OUTAGE);
     for _ in 0..2 {
-        reader.pass(SILENT / 2);
+        reader.pass(SHORT_OUTAGE / 2);
         reader.confirm();
     }
     reader.list(Vec::new());
@@ -143,30 +154,32 @@
     other.ask(&reader);
 
     assert!(starts(&other.arrive(request(1, "/open/"))).is_empty());
-    // Nor is it used again once the platform is back.
+    // The target stays unused once this process reaches the platform again.
     other.confirm();
     other.list(Vec::new());
     assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
+/// Guards against a list without living targets that spreads: just after an outage they may be missing.
 #[test]
 fn a_list_that_was_read_just_after_an_outage_is_not_relayed() {
     let (mut reader, mut other) = pair();
     other.ask(&reader);
-    reader.pass(SILENT);
+    reader.pass(SHORT_OUTAGE);
     reader.confirm();
     reader.list(Vec::new());
 
     other.ask(&reader);
     assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
 
-    reader.pass(RETURN);
+    reader.pass(RELIST_END);
     other.ask(&reader);
     assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
+/// Guards against a step back to an older configuration or an older list of targets.
 #[test]
-fn nothing_older_than_what_is_known_is_taken_over() {
+fn data_that_is_older_than_the_known_data_is_not_used() {
     let (reader, mut other) = pair();
     other.send(Event::Planned(Arc::new(routes(8))));
     other.confirm();
@@ -181,8 +194,9 @@
     assert_eq!(started[0].target, "target-0");
 }
 
+/// Guards against data that is fetched again with each exchange.
 #[test]
-fn only_what_is_newer_is_relayed() {
+fn data_that_was_fetched_is_not_fetched_again() {
     let (reader, mut other) = pair();
     let (first, _) = other.hear_offer(&reader);
     for &topic in &first {
@@ -195,33 +209,37 @@
     assert!(second.is_empty());
 }
 
+/// Guards against an outage that is taken to end only with the second answer, because the first one is to
+/// a read that began long before: targets that left would get requests for longer.
 #[test]
 fn an_outage_ends_with_the_first_answer() {
     let (mut reader, _) = pair();
-    reader.pass(LONG);
-    // What was asked before the outage is answered first.
-    let boot = reader.now.boot - SILENT;
+    reader.pass(LONG_OUTAGE);
+    // The first answer is to a read that began long before.
+    let boot = reader.now.boot - SHORT_OUTAGE;
     reader.send(Event::Confirmed { boot, version: 7, era: reader.era });
     reader.list(Vec::new());
-    reader.pass(RETURN / 2);
+    reader.pass(RELIST_END / 2);
     reader.confirm();
     assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
 
-    reader.pass(RETURN / 2);
+    reader.pass(RELIST_END / 2);
 
     assert!(starts(&reader.arrive(request(2, "/open/"))).is_empty());
 }
 
+/// Guards against requests to targets that left, from a process that takes its own lost connection for an
+/// outage of the platform though a peer got answers all the time.
 #[test]
-fn what_only_this_process_missed_is_no_outage() {
+fn no_answers_to_one_process_are_no_outage() {
     let (mut reader, mut other) = pair();
     other.ask(&reader);
     other.confirm();
-    reader.pass(LONG);
+    reader.pass(LONG_OUTAGE);
     reader.confirm();
-    reader.pass(RETURN);
+    reader.pass(RELIST_END);
     reader.confirm();
-    other.pass(LONG + RETURN);
+    other.pass(LONG_OUTAGE + RELIST_END);
     other.confirm();
     other.list(Vec::new());
     assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
@@ -231,12 +249,14 @@
     assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
+/// Guards against living targets that are dropped after an outage since each process takes the offers of
+/// the other for a sign that the platform answers.
 #[test]
-fn an_outage_that_all_have_is_one_of_the_platform() {
+fn no_answers_to_any_process_are_an_outage() {
     let (mut reader, mut other) = pair();
     other.ask(&reader);
     other.confirm();
-    // They go on asking each other while the platform answers neither.
+    // Both processes exchange offers while the platform answers neither.
     for _ in 0..20 {
         for process in [&mut reader, &mut other] {
             process.pass(OUTAGE / 20);
@@ -253,44 +273,44 @@
     assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
 }
 
-/// Guards against requests to a target that left while all processes were cut off, which take the end of
-/// that for the end of an outage of the platform, and for later than it was.
+/// Guards against requests to a target that left while all processes were cut off from the platform: they
+/// take the end of that for the end of an outage of the platform, and for later than it was.
 #[test]
-fn what_left_while_all_were_cut_off_gets_nothing_once_the_way_is_back_for_long() {
+fn a_target_that_left_while_all_were_cut_off_gets_no_requests_afterwards() {
     let (mut reader, mut other) = pair();
     other.ask(&reader);
     other.confirm();
     for process in [&mut reader, &mut other] {
-        process.pass(LONG + HUNG);
+        process.pass(LONG_OUTAGE + FIRST_ANSWER_DELAY);
         process.confirm();
         process.list(Vec::new());
     }
     reader.ask(&other);
     other.ask(&reader);
 
-    reader.pass(STABLE - HUNG);
+    reader.pass(REACHABLE_TIME - FIRST_ANSWER_DELAY);
 
     assert!(starts(&reader.arrive(request(1, "/open/"))).is_empty());
 }
 
-/// Guards against living targets that are given up before they had the time to be listed again, which they
-/// have from the outage's end on: that may be as late as the first answer.
+/// Guards against living targets that are dropped before the platform had time to list them again. That
+/// time starts at the outage's end, which may be as late as the first answer.
 #[test]
-fn living_targets_are_used_until_they_had_the_time_to_be_listed_again() {
+fn targets_missing_after_an_outage_are_used_until_the_platform_had_time_to_list_them() {
     let (mut reader, _) = pair();
     reader.pass(OUTAGE);
     reader.confirm();
     reader.list(Vec::new());
 
-    reader.pass(LISTED_AGAIN);
+    reader.pass(RELIST_TIME);
 
     assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
 }
 
-/// Guards against requests to a target that left while a large configuration was on its way: the platform
-/// answered all the while, but no read of the configuration ended.
+/// Guards against requests to a target that left while a large configuration was being read: the platform
+/// answered reads of the list all the time, but no read of the configuration ended.
 #[test]
-fn a_configuration_that_takes_long_to_come_is_no_outage() {
+fn a_slow_read_of_the_configuration_is_no_outage() {
     let (mut reader, _) = pair();
     for _ in 0..10 {
         reader.pass(OUTAGE / 10);
@@ -299,14 +319,14 @@
     reader.confirm();
     reader.list(Vec::new());
 
-    reader.pass(DRAIN);
+    reader.pass(LEAVE_TIME);
 
     assert!(starts(&reader.arrive(request(1, "/open/"))).is_empty());
 }
 
-/// Guards against living targets that are dropped where the list is the first that is read after an outage.
+/// Guards against living targets that are dropped when the first answer after an outage is the list.
 #[test]
-fn an_outage_ends_with_an_answer_for_the_list_too() {
+fn an_answer_to_a_read_of_the_list_ends_an_outage() {
     let (mut reader, _) = pair();
     reader.pass(OUTAGE);
     reader.send(Event::ListAnswered);
@@ -314,16 +334,16 @@
     reader.list(Vec::new());
 
     assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
-    reader.pass(RETURN);
+    reader.pass(RELIST_END);
     assert!(starts(&reader.arrive(request(2, "/open/"))).is_empty());
 }
 
-/// Guards against a log from which a target that is used though it vanished can't be told from one that is
-/// listed.
+/// Guards against a log that doesn't distinguish targets that are used though they are missing from the
+/// list from targets that are listed.
 #[test]
-fn targets_that_are_used_though_they_vanished_are_counted() {
+fn the_log_counts_targets_that_are_used_though_missing_from_the_list() {
     let (mut reader, _) = pair();
-    reader.pass(SILENT);
+    reader.pass(SHORT_OUTAGE);
     reader.confirm();
 
     let effects = reader.list(vec![target(1)]);
@@ -335,15 +355,16 @@
     assert_eq!(kept, Some(1));
 }
 
+/// Guards against a log of dispatches that doesn't show how old the list of targets was.
 #[test]
-fn a_dispatch_tells_how_long_ago_the_platform_answered_for_its_list() {
+fn the_view_of_a_dispatch_has_the_time_since_the_platform_last_answered_a_read_of_the_list() {
     let mut process = process(routes(7), targets(1));
     assert_eq!(process.state.list_age(process.now.steady), None);
     process.send(Event::ListAnswered);
-    process.pass(SILENT);
+    process.pass(SHORT_OUTAGE);
 
     process.arrive(request(1, "/open/"));
 
-    let view = process.state.view(1, process.now.steady).expect("it was dispatched");
-    assert_eq!(view.list_age, Some(SILENT));
+    let view = process.state.view(1, process.now.steady).expect("the request was dispatched");
+    assert_eq!(view.list_age, Some(SHORT_OUTAGE));
 }
