--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -16,10 +16,11 @@
 pub struct Allowance {
     /// Units that this process admitted since its start, less the units that were returned.
     pub spent: u64,
-    /// Units left in the bucket of the parts of all processes whose use is known; negative after an
-    /// overshoot.
+    /// Units left in the bucket of the parts of all processes whose use is known: at most their burst and
+    /// [`BURST_TOLERANCE`], negative after an overshoot.
     shared_units: f64,
-    /// Units left in the bucket of this process's own part of the limit; negative after an overshoot.
+    /// Units left in the bucket of this process's own part of the limit: at most its part of the burst,
+    /// negative after an overshoot.
     own_units: f64,
     /// Units of the largest recent request with stated tokens; smaller ones wait for as many, so that
     /// small requests don't starve large ones.
@@ -28,7 +29,7 @@
     refilled: Instant,
     /// Fraction of the extra units after the start that the buckets have yet to get, from 0 to 1.
     start_fraction_left: f64,
-    /// Whether the units left were taken over from a process that started earlier.
+    /// Whether `shared_units` was taken over from a process that started earlier.
     has_adopted: bool,
 }
 
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -1,7 +1,8 @@
 //! State that entry processes exchange about themselves, one row for each process.
 //!
 //! A row is *current* while it is younger than ten exchange periods. A process is *active* while it
-//! isn't leaving and was seen recently, by a row or by a change of its stamp at the platform's service.
+//! isn't leaving and its newest row, or the last change of its stamp at the platform's service, is
+//! younger than the setting [`gone`](super::Settings::gone).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -40,11 +41,11 @@
 
 /// Returns whether a process sends all rows, not just its own, in the exchange with this number.
 ///
-/// `own` and `other` are the indexes of the sender and of the receiver among the addresses that the
-/// sender knows. In one exchange a process sends all rows to at most one in 20 of the others, rounded
-/// up, and receives all rows from at most as many. Processes that start together number their
-/// exchanges alike: if all of them sent all rows to one process, they would fill its link for longer
-/// than the timeout of an exchange.
+/// `own` and `other` are the indexes of the sender and of the receiver in the sender's sorted list of the
+/// other processes' addresses; `own` is the index at which its own address would stand. In one exchange
+/// a process sends all rows to at most one in 20 of the others, rounded up, and receives all rows from
+/// at most as many. Processes that start together number their exchanges alike: if all of them sent all
+/// rows to one process, they would fill its link for longer than the timeout of an exchange.
 pub fn tells_all(exchange: u64, own: usize, other: usize) -> bool {
     (exchange + own as u64 + other as u64).is_multiple_of(EXCHANGES_PER_FULL_EXCHANGE)
 }
@@ -74,7 +75,7 @@
     pub limit: Limit,
 }
 
-/// Use of an account's limit, as one entry process knows it.
+/// Use of an account's limit, by the count of one entry process.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Use {
     /// Name of the account.
@@ -105,14 +106,14 @@
     pub hears: Vec<SocketAddr>,
     /// Time since the process started.
     pub uptime: Duration,
-    /// Use of each account's limit, as the process knows it.
+    /// Use of each account's limit, by the process's own count.
     pub accounts: Vec<Use>,
     /// Load that the process puts on each target.
     pub running: Vec<Busy>,
     /// Rate limits, as the process last learnt them, of the targets that ever stated one.
     #[serde(default)]
     pub limits: Vec<Limited>,
-    /// State of each roll-out, as the process knows it.
+    /// State of each roll-out at the process.
     pub rollouts: Vec<Share>,
 }
 
@@ -240,7 +241,8 @@
         current.into_iter().filter(is_part_usable).count() as u32 + 1
     }
 
-    /// Returns the addresses of the processes whose rows are current and that aren't leaving.
+    /// Returns the addresses of the processes whose rows are current and that aren't leaving, for
+    /// [`Row::hears`].
     pub fn heard_addresses(&self, now: Instant) -> Vec<SocketAddr> {
         let current =
             self.peers.values().filter(|peer| self.has_current_row(peer, now) && !peer.row.leaving);
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -71,7 +71,7 @@
     pub crashes: u64,
 }
 
-/// Message in which a process tells another which data it can send.
+/// Message by which a process offers data to another.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Offer {
     /// Versions of the data that the process sends on request.
@@ -89,7 +89,7 @@
     Targets(Listing),
     /// The configuration.
     Plan(Arc<Plan>),
-    /// Counts of bodies that crashed targets, of every process whose counts the sender knows.
+    /// Counts of bodies that crashed targets, of every process whose counts the sender has.
     Crashes(Vec<CrashCount>),
 }
 
@@ -226,7 +226,7 @@
     }
 
     /// Starts a fetch of each topic in which another process may be ahead, unless one runs already. It
-    /// goes to the process with the newest data, for crash counts to any that has others.
+    /// goes to the process with the newest data; for crash counts, to any process with a different digest.
     pub(super) fn fetch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let own = self.known();
         let is_ahead = |known: &Known| Topic::ALL.iter().any(|&t| known.may_be_ahead(&own, t));
--- a/components/scheduler/tests/direct_crashes.rs
+++ b/components/scheduler/tests/direct_crashes.rs
@@ -37,6 +37,7 @@
     entry
 }
 
+/// Returns entry processes that share a clock and don't know of each other yet.
 fn entries(count: u16) -> Vec<Process> {
     let clock = blank(1);
     (1..=count).map(|number| entry(number, 1, &clock)).collect()
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -54,7 +54,7 @@
     fault: Fault,
     /// Number of steps until the next phase.
     steps: u16,
-    /// Process to which most requests go.
+    /// Number of the process to which most requests go.
     busiest: u16,
 }
 
@@ -385,8 +385,8 @@
     assert_eq!(served, 400);
 }
 
-/// Guards against a process that is cut off from its peers, but not from the platform, and takes them for
-/// gone: it would use their parts of the limit while they use them too.
+/// Guards against a process that is cut off from its peers, but not from the platform, and no longer
+/// counts them as active: it would use the whole limit while they use it too.
 #[test]
 fn a_peer_that_still_registers_at_the_platform_counts_as_active() {
     let mut fleet = fleet();
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -64,8 +64,8 @@
 fn a_process_gets_all_rows_from_few_in_the_same_exchange(processes: usize, max_senders: usize) {
     for exchange in 7..7 + EXCHANGES_PER_CYCLE {
         for receiver in 1..processes {
-            // A process exchanges with those of higher addresses. Its own address isn't among those that
-            // it knows, so the index of the receiver is one lower there.
+            // A process exchanges with those of higher addresses. Its own address isn't in its list of
+            // addresses, so the index of the receiver is one lower there.
             let sends_all = |&own: &usize| peers::tells_all(exchange, own, receiver - 1);
 
             let senders = (0..receiver).filter(sends_all).count();
