--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -1,10 +1,16 @@
-//! Roll-outs: a pool's requests move to targets of another version, a few of them first.
+//! Rollouts: shift a pool's requests to targets of another version, after a canary phase that exposes
+//! a small share of them.
 //!
-//! Each process bounds its own part of what the ordered version gets by what it dispatches itself, so
-//! that the sum holds over all of them, whoever is cut off from whom. What its answers were worth is
-//! told in rows, as counts that only grow within a start of a process. Any process that finds the
-//! version worse than the one before it rolls back at once, and so do all that hear of it. It is
-//! completed only once all that may take requests are heard and none has anything at the old targets.
+//! The version that the rollout order names is the ordered version; the versions that served the pool
+//! before the order are its base versions.
+//!
+//! Each entry process limits the share of its own dispatches that go to the ordered version. The limit
+//! therefore holds for the sum over all processes, also while some of them can't reach each other. The
+//! processes exchange counts of good and bad answers in their rows; the counts only grow within an
+//! incarnation of a process. A process that judges the ordered version to be worse than the base rolls
+//! back at once, and so does each process that receives its row. A rollout completes only when the rows
+//! of all processes that may take requests are fresh and none of them has a request in flight at a
+//! target of a base version.
 
 mod evidence;
 mod message;
@@ -22,68 +28,70 @@
 
 use super::relay::{Era, Position};
 
-/// Part of the allowed share that the ordered version gets while it is on trial. The rest is for the
-/// move, in which a version that turns bad is seen only after it got requests.
-const TRIAL_PART: f64 = 0.6;
-/// Part of the time at whose end all requests move, if the version is found good.
-const MOVE_PART: f64 = 0.35;
-/// Part of the move over which its share of requests grows to all.
-const RAMP_PART: f64 = 0.3;
-/// Share of the requests with which the move begins.
-const RAMP_FROM: f64 = 0.1;
-/// Time before the end at which a version that isn't found good is rolled back.
-const DOUBT: Duration = Duration::from_secs(1);
-/// Part of the ready targets that requests on trial go to: few targets are as loaded as after the move,
-/// so that what fails under load shows.
-const TRIAL_TARGETS: f64 = 0.05;
-
+/// Fraction of the allowed share of requests that the ordered version gets in the canary phase. The
+/// rest is kept for the traffic shift, where a version that turns bad is detected only after it got
+/// requests.
+const CANARY_FRACTION: f64 = 0.6;
+/// Fraction of the rollout's duration, at its end, for the traffic shift of a version judged good.
+const SHIFT_FRACTION: f64 = 0.35;
+/// Fraction of the traffic shift's duration over which the ordered version's share grows to 1.
+const RAMP_FRACTION: f64 = 0.3;
+/// Share of the requests, from 0 to 1, that the ordered version gets when the traffic shift begins.
+const RAMP_START_SHARE: f64 = 0.1;
+/// Time before the rollout's deadline at which a version that hasn't been judged good is rolled back.
+const ROLLBACK_MARGIN: Duration = Duration::from_secs(1);
+/// Number of targets that serve the canary phase, as a fraction of the ready targets of base versions.
+/// With so few, each is loaded as after the traffic shift, which exposes failures under load.
+const CANARY_TARGET_FRACTION: f64 = 0.05;
+
+/// The latest rollout of a pool, as this process knows it.
 #[derive(Clone, Debug)]
 struct Rollout {
     order: Order,
-    /// When the operator gave it, as far as is known.
-    since: Instant,
-    /// As this process holds; never `Running` again once it is decided.
+    /// When the operator gave the order: the earliest time that this process or a peer's row states.
+    ordered_at: Instant,
+    /// Progress as this process has decided or learnt it; never `Running` again after a final state.
     progress: Progress,
-    /// Since when requests move.
-    moving: Option<Instant>,
-    /// What the platform's service is known to say in this era.
+    /// When this process began the traffic shift; `None` in the canary phase.
+    shift_started: Option<Instant>,
+    /// Progress that the platform service is known to store in the current era; `None` if unknown.
     reported: Option<Progress>,
-    /// Whether the report that stands is of an earlier order.
-    renews: bool,
-    /// Whether the operator took the order back; nothing is reported then.
-    withdrawn: bool,
-    /// Dispatches of this process by route, so that the ordered version gets its share of each.
-    counts: BTreeMap<String, Count>,
+    /// Whether the final report that the platform service stores belongs to an earlier order.
+    replaces_report: bool,
+    /// Whether the operator withdrew the order; a withdrawn rollout isn't reported.
+    is_withdrawn: bool,
+    /// Dispatches of this process by route: the share of the ordered version is limited on each route.
+    route_counts: BTreeMap<String, RouteCounts>,
     evidence: Evidence,
 }
 
-/// Dispatches of one route.
+/// Requests of one route, counted by this process since the order.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    /// All of them.
+struct RouteCounts {
+    /// Dispatches to any version.
     dispatched: u64,
-    /// Those to the ordered version.
-    exposed: u64,
-    /// Requests that are chosen for it and wait.
-    pledged: u64,
+    /// Dispatches to the ordered version.
+    to_ordered: u64,
+    /// Requests chosen for the ordered version that haven't been dispatched yet.
+    pending: u64,
 }
 
-/// All roll-outs that are known, and the versions that are in use.
+/// The latest rollout of each pool, and the versions that pools use without an order.
 #[derive(Clone, Debug, Default)]
 pub struct Rollouts {
     rollouts: BTreeMap<PoolName, Rollout>,
-    /// Versions that are served without an order.
-    base: BTreeMap<PoolName, BTreeSet<Version>>,
-    /// The platform's era.
+    /// Base versions by pool: those whose targets take requests without a running rollout.
+    base_versions: BTreeMap<PoolName, BTreeSet<Version>>,
+    /// Current era of the platform service.
     era: Era,
 }
 
-/// What the other processes that may take requests tell of an order.
+/// State of the peers that may take requests, with respect to one order.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Others {
-    /// Whether at least half of them are heard.
+    /// Whether the rows of at least half of the peers are fresh.
     pub most: bool,
-    /// Whether all of them are heard, and have moved.
+    /// Whether the rows of all peers are fresh and state that the traffic shift is finished.
     pub moved: bool,
 }
 
@@ -92,46 +100,53 @@
         self.progress == Progress::Running
     }
 
-    fn lead(&self) -> Duration {
-        self.order.duration.mul_f64(MOVE_PART)
+    /// Returns the time before the deadline at which the traffic shift may begin.
+    fn shift_duration(&self) -> Duration {
+        self.order.duration.mul_f64(SHIFT_FRACTION)
     }
 
-    /// Share of the requests that goes to the ordered version.
-    fn share(&self, now: Instant, allowed: f64) -> f64 {
-        let Some(moving) = self.moving else {
-            return allowed * TRIAL_PART;
+    /// Returns the share of the requests, from 0 to 1, that goes to the ordered version now.
+    /// `canary_limit` is the share that a version may get before it is judged good.
+    fn ordered_share(&self, now: Instant, canary_limit: f64) -> f64 {
+        let Some(shift_started) = self.shift_started else {
+            return canary_limit * CANARY_FRACTION;
         };
-        let ramp = self.lead().mul_f64(RAMP_PART).as_secs_f64();
-        let passed = now.saturating_duration_since(moving).as_secs_f64();
-        (RAMP_FROM + (1.0 - RAMP_FROM) * passed / ramp.max(f64::MIN_POSITIVE)).min(1.0)
+        let ramp = self.shift_duration().mul_f64(RAMP_FRACTION).as_secs_f64();
+        let passed = now.saturating_duration_since(shift_started).as_secs_f64();
+        (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * passed / ramp.max(f64::MIN_POSITIVE))
+            .min(1.0)
     }
 
-    fn has_moved(&self, now: Instant) -> bool {
-        self.moving.is_some() && self.share(now, 1.0) >= 1.0
+    /// Whether the traffic shift has reached all requests of this process.
+    fn is_shift_complete(&self, now: Instant) -> bool {
+        self.shift_started.is_some() && self.ordered_share(now, 1.0) >= 1.0
     }
 
+    /// Returns the log entry of an action that is taken now.
     fn step(&self, now: Instant, action: Action) -> Step {
-        let (before, after) = self.evidence.totals();
+        let (base, ordered) = self.evidence.totals();
         Step {
             pool: self.order.pool.clone(),
             target: self.order.target.clone(),
             action,
-            age: now.saturating_duration_since(self.since),
-            dispatched: self.dispatched(),
-            before,
-            after,
+            age: now.saturating_duration_since(self.ordered_at),
+            dispatched: self.dispatch_totals(),
+            before: base,
+            after: ordered,
         }
     }
 
-    /// Dispatches of this process, and those of them to the ordered version.
-    fn dispatched(&self) -> (u64, u64) {
-        let counts = self.counts.values();
-        counts
-            .fold((0, 0), |(all, exposed), count| (all + count.dispatched, exposed + count.exposed))
+    /// Returns this process's dispatches over all routes: to any version, and to the ordered version.
+    fn dispatch_totals(&self) -> (u64, u64) {
+        let counts = self.route_counts.values();
+        counts.fold((0, 0), |(all, ordered), count| {
+            (all + count.dispatched, ordered + count.to_ordered)
+        })
     }
 
-    /// What there is to do now.
-    fn decide(&self, now: Instant, others: Others, idle: bool) -> Option<Action> {
+    /// Returns the action that is due now; `None` if there is none or the rollout has ended. `is_idle`
+    /// states whether this process has no request in flight at targets of other versions.
+    fn next_action(&self, now: Instant, others: Others, is_idle: bool) -> Option<Action> {
         if !self.is_active() {
             return None;
         }
@@ -139,53 +154,55 @@
         if judgement == Judgement::Bad {
             return Some(Action::RollBack);
         }
-        if self.moving.is_some() {
-            let done = self.has_moved(now) && idle && others.moved;
-            return done.then_some(Action::Complete);
+        if self.shift_started.is_some() {
+            let is_done = self.is_shift_complete(now) && is_idle && others.moved;
+            return is_done.then_some(Action::Complete);
         }
-        let left = (self.since + self.order.duration).saturating_duration_since(now);
-        if left <= self.lead() && judgement == Judgement::Good && others.most {
+        let left = (self.ordered_at + self.order.duration).saturating_duration_since(now);
+        if left <= self.shift_duration() && judgement == Judgement::Good && others.most {
             return Some(Action::Move);
         }
-        (left <= DOUBT).then_some(Action::GiveUp)
+        (left <= ROLLBACK_MARGIN).then_some(Action::GiveUp)
     }
 }
 
 impl Rollouts {
-    /// Takes an order in that was given some time ago; gives what follows for the log.
+    /// Records an order that the operator gave `age` ago, and starts its rollout. Returns the step to
+    /// log; `None` if the order is already known or older than the known one.
     pub fn order(&mut self, now: Instant, order: Order, age: Duration) -> Option<Step> {
-        let since = now.checked_sub(age).unwrap_or(now);
+        let ordered_at = now.checked_sub(age).unwrap_or(now);
         if let Some(known) = self.rollouts.get_mut(&order.pool) {
-            let same =
+            let is_same =
                 (&known.order.target, known.order.duration) == (&order.target, order.duration);
             if known.order.position >= order.position {
                 if known.order == order {
-                    known.since = known.since.min(since);
+                    known.ordered_at = known.ordered_at.min(ordered_at);
                 }
                 return None;
             }
-            // Written again to a service that came back from an older copy.
-            if same && known.order.position.era < order.position.era {
+            // The operator wrote the same order again after the platform service was restored from an
+            // older copy: the rollout continues under the new position.
+            if is_same && known.order.position.era < order.position.era {
                 known.order = order;
                 return None;
             }
         }
         let pool = order.pool.clone();
-        let base = self.base.entry(pool.clone()).or_default();
-        base.remove(&order.target);
-        let before = self.rollouts.get(&pool);
-        let renews = before.is_some_and(|before| {
-            before.order.target == order.target && before.progress != Progress::Running
+        let base_versions = self.base_versions.entry(pool.clone()).or_default();
+        base_versions.remove(&order.target);
+        let previous = self.rollouts.get(&pool);
+        let replaces_report = previous.is_some_and(|previous| {
+            previous.order.target == order.target && previous.progress != Progress::Running
         });
         let rollout = Rollout {
             order,
-            since,
+            ordered_at,
             progress: Progress::Running,
-            moving: None,
+            shift_started: None,
             reported: None,
-            renews,
-            withdrawn: false,
-            counts: BTreeMap::new(),
+            replaces_report,
+            is_withdrawn: false,
+            route_counts: BTreeMap::new(),
             evidence: Evidence::default(),
         };
         let step = rollout.step(now, Action::Try);
@@ -193,18 +210,20 @@
         Some(step)
     }
 
-    /// The operator takes an order back: its version gets nothing, and nothing is reported.
+    /// Ends a pool's rollout whose order the operator withdrew at `position`: the ordered version gets no
+    /// more requests, and nothing is reported. Returns the step to log; `None` if the rollout isn't
+    /// running or its order is newer than the withdrawal.
     pub fn withdraw(&mut self, now: Instant, pool: &PoolName, position: Position) -> Option<Step> {
         let rollout = self.rollouts.get_mut(pool)?;
         if rollout.order.position >= position || !rollout.is_active() {
             return None;
         }
         rollout.progress = Progress::RolledBack;
-        rollout.withdrawn = true;
+        rollout.is_withdrawn = true;
         Some(rollout.step(now, Action::Withdraw))
     }
 
-    /// The platform's service came back from an older copy, which may lack what was reported.
+    /// Enters a new era: the platform service was restored from an older copy, which may lack reports.
     pub fn enter(&mut self, era: Era) {
         self.era = era;
         for rollout in self.rollouts.values_mut() {
@@ -212,21 +231,22 @@
         }
     }
 
-    /// Takes in what the platform's service says; a final report there decides.
+    /// Applies a report that the platform service stores; a final one overrides this process's own
+    /// decision. Returns the step to log, if the progress changes.
     pub fn report(&mut self, now: Instant, report: &Report) -> Option<Step> {
         let rollout = self.rollouts.get_mut(&report.pool)?;
         if rollout.order.target != report.target {
             return None;
         }
-        if rollout.renews && report.progress != Progress::Running {
+        if rollout.replaces_report && report.progress != Progress::Running {
             return None;
         }
-        rollout.renews = false;
+        rollout.replaces_report = false;
         rollout.reported = Some(report.progress);
-        follow(rollout, now, report.progress, &mut self.base)
+        adopt_decision(rollout, now, report.progress, &mut self.base_versions)
     }
 
-    /// Takes in what another process tells; gives what follows for the log.
+    /// Merges the state of a rollout that a peer sent `age` ago. Returns the steps to log.
     pub fn hear(&mut self, now: Instant, age: Duration, share: &Share) -> Vec<Step> {
         let mut steps = Vec::new();
         steps.extend(self.order(now, share.order.clone(), share.age + age));
@@ -236,56 +256,62 @@
         if rollout.order.position != share.order.position {
             return steps;
         }
-        // What stood in an older era may be gone.
-        let current = share.era >= self.era;
-        if current && rollout.reported.is_none_or(|known| known == Progress::Running) {
+        // The platform service may have lost a report of an older era.
+        let is_current = share.era >= self.era;
+        if is_current && rollout.reported.is_none_or(|known| known == Progress::Running) {
             rollout.reported = share.reported.or(rollout.reported);
         }
-        // Only the platform's service says that it is completed: another may have rolled back.
-        let decided = match share.progress {
+        // A completion counts only if the platform service stores it: another process may have rolled back.
+        let decision = match share.progress {
             Progress::RolledBack => Some(Progress::RolledBack),
             _ => share.reported,
         };
-        steps.extend(decided.and_then(|told| follow(rollout, now, told, &mut self.base)));
+        steps.extend(
+            decision.and_then(|decision| {
+                adopt_decision(rollout, now, decision, &mut self.base_versions)
+            }),
+        );
         steps
     }
 
-    /// Sums up what all processes tell of their answers.
+    /// Recomputes the evidence of each rollout from this process's tallies and those in the peers' rows.
     pub fn weigh<'a>(&mut self, shares: impl Iterator<Item = &'a Share>) {
         for rollout in self.rollouts.values_mut() {
-            rollout.evidence.begin();
+            rollout.evidence.reset_totals();
         }
         for share in shares {
             if let Some(rollout) = self.rollouts.get_mut(&share.order.pool)
                 && rollout.order.position == share.order.position
             {
-                rollout.evidence.add(&share.tallies);
+                rollout.evidence.add_peer(&share.tallies);
             }
         }
         for rollout in self.rollouts.values_mut() {
-            rollout.evidence.finish();
+            rollout.evidence.update_cusums();
         }
     }
 
-    /// Decides what there is to decide; `others` and `idle` tell of a pool what the other processes
-    /// say, and whether this one has nothing at old targets.
+    /// Takes the actions that are due, and returns their steps for the log. For an order, `others`
+    /// returns the state of the peers, and `is_idle` whether this process has no request in flight at
+    /// targets of other versions.
     pub fn decide(
         &mut self,
         now: Instant,
         others: impl Fn(&Order) -> Others,
-        idle: impl Fn(&Order) -> bool,
+        is_idle: impl Fn(&Order) -> bool,
     ) -> Vec<Step> {
         let mut steps = Vec::new();
         for rollout in self.rollouts.values_mut() {
-            let (others, idle) = (others(&rollout.order), idle(&rollout.order));
-            let Some(action) = rollout.decide(now, others, idle) else {
+            let (others, is_idle) = (others(&rollout.order), is_idle(&rollout.order));
+            let Some(action) = rollout.next_action(now, others, is_idle) else {
                 continue;
             };
             match action {
-                Action::Move => rollout.moving = Some(now),
+                Action::Move => rollout.shift_started = Some(now),
                 Action::Complete => {
-                    let base = self.base.entry(rollout.order.pool.clone()).or_default();
-                    *base = BTreeSet::from([rollout.order.target.clone()]);
+                    let pool = rollout.order.pool.clone();
+                    let base_versions = self.base_versions.entry(pool).or_default();
+                    *base_versions = BTreeSet::from([rollout.order.target.clone()]);
                     rollout.progress = Progress::Completed;
                 }
                 _ => rollout.progress = Progress::RolledBack,
@@ -295,111 +321,118 @@
         steps
     }
 
-    /// What the platform's service isn't known to say yet.
+    /// Returns the reports that the platform service isn't known to store yet.
     pub fn reports(&self) -> Vec<Report> {
-        let ordered = self.rollouts.values().filter(|rollout| !rollout.withdrawn);
-        let open = ordered.filter(|rollout| {
+        let ordered = self.rollouts.values().filter(|rollout| !rollout.is_withdrawn);
+        let unreported = ordered.filter(|rollout| {
             rollout.reported.is_none()
                 || (rollout.reported == Some(Progress::Running) && !rollout.is_active())
         });
-        let reports = open.map(|rollout| Report {
+        let reports = unreported.map(|rollout| Report {
             pool: rollout.order.pool.clone(),
             target: rollout.order.target.clone(),
             progress: rollout.progress,
-            renews: rollout.renews,
+            renews: rollout.replaces_report,
         });
         reports.collect()
     }
 
-    /// What this process tells the others; `idle` as in [`Rollouts::decide`].
-    pub fn shares(&self, now: Instant, idle: impl Fn(&Order) -> bool) -> Vec<Share> {
+    /// Returns the state of each rollout for this process's row; `is_idle` as in [`Rollouts::decide`].
+    pub fn shares(&self, now: Instant, is_idle: impl Fn(&Order) -> bool) -> Vec<Share> {
         let shares = self.rollouts.values().map(|rollout| Share {
             order: rollout.order.clone(),
-            age: now.saturating_duration_since(rollout.since),
+            age: now.saturating_duration_since(rollout.ordered_at),
             progress: rollout.progress,
             reported: rollout.reported,
             era: self.era,
-            moved: rollout.has_moved(now) && idle(&rollout.order),
-            tallies: if rollout.is_active() { rollout.evidence.own() } else { Vec::new() },
+            moved: rollout.is_shift_complete(now) && is_idle(&rollout.order),
+            tallies: if rollout.is_active() { rollout.evidence.own_tallies() } else { Vec::new() },
         });
         shares.collect()
     }
 
-    /// Whether a request that begins to wait goes to the ordered version; `alone` where most of the other
-    /// processes aren't heard: they may know of bad answers. `draw` is spread evenly from 0 to 1.
+    /// Decides whether a request that enters the queue goes to the ordered version, and counts it as
+    /// pending there if so. `draw` is spread evenly from 0 to 1; `canary_limit` is the share of requests
+    /// that a version may get before it is judged good. A process is isolated if the rows of most peers
+    /// are stale: since those may know of bad answers, it chooses no request.
     pub fn choose(
         &mut self,
         now: Instant,
         (pool, route): (&PoolName, &str),
         draw: f64,
-        allowed: f64,
-        alone: bool,
+        canary_limit: f64,
+        is_isolated: bool,
     ) -> bool {
         let Some(rollout) = self.rollouts.get_mut(pool) else {
             return false;
         };
-        // Before it is known what was reported, an earlier process may have rolled back.
-        if !rollout.is_active() || rollout.reported.is_none() || alone {
+        // Until the stored report is known, another process may already have rolled back.
+        if !rollout.is_active() || rollout.reported.is_none() || is_isolated {
             return false;
         }
-        let share = rollout.share(now, allowed);
-        let count = rollout.counts.entry(route.to_owned()).or_default();
-        let chosen = if rollout.moving.is_some() {
+        let share = rollout.ordered_share(now, canary_limit);
+        let count = rollout.route_counts.entry(route.to_owned()).or_default();
+        let is_chosen = if rollout.shift_started.is_some() {
             draw < share
         } else {
-            (count.exposed + count.pledged + 1) as f64 <= share * (count.dispatched + 1) as f64
+            (count.to_ordered + count.pending + 1) as f64 <= share * (count.dispatched + 1) as f64
         };
-        count.pledged += u64::from(chosen);
-        chosen
+        count.pending += u64::from(is_chosen);
+        is_chosen
     }
 
-    /// A request that was chosen doesn't wait for the ordered version any more.
+    /// Uncounts a request that was chosen for the ordered version and no longer waits for it.
     pub fn release(&mut self, pool: &PoolName, route: &str) {
         let rollout = self.rollouts.get_mut(pool);
-        if let Some(count) = rollout.and_then(|rollout| rollout.counts.get_mut(route)) {
-            count.pledged = count.pledged.saturating_sub(1);
+        if let Some(count) = rollout.and_then(|rollout| rollout.route_counts.get_mut(route)) {
+            count.pending = count.pending.saturating_sub(1);
         }
     }
 
-    /// Which targets a request may go to.
-    pub fn lane(&self, now: Instant, pool: &PoolName, chosen: bool) -> Lane {
+    /// Returns which targets a request of a pool may go to; `is_chosen` is what [`Rollouts::choose`]
+    /// returned for it.
+    pub fn lane(&self, now: Instant, pool: &PoolName, is_chosen: bool) -> Lane {
         match self.rollouts.get(pool) {
-            Some(rollout) if rollout.is_active() && (chosen || rollout.has_moved(now)) => {
+            Some(rollout)
+                if rollout.is_active() && (is_chosen || rollout.is_shift_complete(now)) =>
+            {
                 Lane::Ordered
             }
             _ => Lane::Base,
         }
     }
 
-    /// Counts a dispatch.
-    pub fn dispatched(&mut self, pool: &PoolName, route: &str, ordered: bool) {
+    /// Counts a dispatch to a target of a pool; `is_ordered` if the target runs the ordered version.
+    pub fn dispatched(&mut self, pool: &PoolName, route: &str, is_ordered: bool) {
         if let Some(rollout) = self.rollouts.get_mut(pool).filter(|rollout| rollout.is_active()) {
-            let count = rollout.counts.entry(route.to_owned()).or_default();
+            let count = rollout.route_counts.entry(route.to_owned()).or_default();
             count.dispatched += 1;
-            count.exposed += u64::from(ordered);
+            count.to_ordered += u64::from(is_ordered);
         }
     }
 
-    /// Learns from an answer.
-    pub fn answered(&mut self, pool: &PoolName, route: &str, ordered: bool, answer: Answer) {
+    /// Counts the answer to a dispatch; `is_ordered` if the target runs the ordered version.
+    pub fn answered(&mut self, pool: &PoolName, route: &str, is_ordered: bool, answer: Answer) {
         if let Some(rollout) = self.rollouts.get_mut(pool).filter(|rollout| rollout.is_active()) {
-            rollout.evidence.learn(route, ordered, answer);
+            rollout.evidence.record(route, is_ordered, answer);
         }
     }
 
-    /// Dispatches of this process to the version that is ordered for a pool.
+    /// Returns the number of this process's dispatches to the ordered version of a pool; 0 without a
+    /// rollout.
     pub fn exposed(&self, pool: &str) -> u64 {
-        self.rollouts.get(pool).map_or(0, |rollout| rollout.dispatched().1)
+        self.rollouts.get(pool).map_or(0, |rollout| rollout.dispatch_totals().1)
     }
 
-    /// Whether any roll-out isn't decided.
+    /// Whether any rollout is still running.
     pub fn any_active(&self) -> bool {
         self.rollouts.values().any(Rollout::is_active)
     }
 
-    /// Which requests the listed targets of a pool take, by their versions and whether they are ready.
-    /// Versions are in use that the pool had first, and those that were completed. Where none of them
-    /// is left, those are taken into use that are not on trial and were not rolled back.
+    /// Returns which requests each listed target of a pool takes; `targets` holds the version of each and
+    /// whether it is ready. Base versions are those that the pool had first, or the one whose rollout
+    /// completed last. If no listed target runs one of them, all listed versions except the latest ordered
+    /// one become base versions.
     pub fn lanes(
         &mut self,
         now: Instant,
@@ -407,48 +440,53 @@
         targets: &[(&Version, bool)],
     ) -> Vec<Lane> {
         let rollout = self.rollouts.get(pool);
-        let ordered = rollout.map(|rollout| &rollout.order.target);
-        let base = self.base.entry(pool.clone()).or_default();
+        let ordered_version = rollout.map(|rollout| &rollout.order.target);
+        let base_versions = self.base_versions.entry(pool.clone()).or_default();
         let versions = targets.iter().map(|&(version, _)| version);
-        if !versions.clone().any(|version| base.contains(version)) {
-            base.extend(versions.filter(|&version| ordered != Some(version)).cloned());
+        if !versions.clone().any(|version| base_versions.contains(version)) {
+            base_versions
+                .extend(versions.filter(|&version| ordered_version != Some(version)).cloned());
         }
         let active = rollout.filter(|rollout| rollout.is_active());
-        let moving = active.is_some_and(|rollout| rollout.moving.is_some());
-        let moved = active.is_some_and(|rollout| rollout.has_moved(now));
-        let old = targets.iter().filter(|(version, ready)| *ready && base.contains(*version));
-        let mut trial = (old.count() as f64 * TRIAL_TARGETS).ceil().max(1.0) as usize;
-        let lane = |&(version, ready): &(&Version, bool)| {
-            if base.contains(version) {
-                return if moved { Lane::Shut } else { Lane::Base };
+        let is_shifting = active.is_some_and(|rollout| rollout.shift_started.is_some());
+        let is_shifted = active.is_some_and(|rollout| rollout.is_shift_complete(now));
+        let old = targets
+            .iter()
+            .filter(|(version, is_ready)| *is_ready && base_versions.contains(*version));
+        let mut canaries_left =
+            (old.count() as f64 * CANARY_TARGET_FRACTION).ceil().max(1.0) as usize;
+        let lane = |&(version, is_ready): &(&Version, bool)| {
+            if base_versions.contains(version) {
+                return if is_shifted { Lane::Shut } else { Lane::Base };
             }
             let is_ordered = active.is_some_and(|rollout| rollout.order.target == *version);
-            if !is_ordered || (!moving && trial == 0) {
+            if !is_ordered || (!is_shifting && canaries_left == 0) {
                 return Lane::Shut;
             }
-            trial = trial.saturating_sub(usize::from(ready));
+            canaries_left = canaries_left.saturating_sub(usize::from(is_ready));
             Lane::Ordered
         };
         targets.iter().map(lane).collect()
     }
 }
 
-/// Follows what was decided elsewhere.
-fn follow(
+/// Adopts the decision on a rollout that a peer or the platform service stated. Returns the step to log;
+/// `None` if the decision isn't final or is known already.
+fn adopt_decision(
     rollout: &mut Rollout,
     now: Instant,
-    told: Progress,
-    base: &mut BTreeMap<PoolName, BTreeSet<Version>>,
+    decision: Progress,
+    base_versions: &mut BTreeMap<PoolName, BTreeSet<Version>>,
 ) -> Option<Step> {
-    if told == Progress::Running || rollout.progress == told {
+    if decision == Progress::Running || rollout.progress == decision {
         return None;
     }
     let Order { pool, target, .. } = &rollout.order;
-    let base = base.entry(pool.clone()).or_default();
-    match told {
-        Progress::Completed => *base = BTreeSet::from([target.clone()]),
-        _ => drop(base.remove(target)),
+    let base_versions = base_versions.entry(pool.clone()).or_default();
+    match decision {
+        Progress::Completed => *base_versions = BTreeSet::from([target.clone()]),
+        _ => drop(base_versions.remove(target)),
     }
-    rollout.progress = told;
-    Some(rollout.step(now, Action::Follow(told)))
+    rollout.progress = decision;
+    Some(rollout.step(now, Action::Follow(decision)))
 }
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -1,105 +1,116 @@
-//! What is known of the answers of two versions, and which of them is worse.
+//! Counts how the base and the ordered version answer, and judges whether the ordered one is worse.
 //!
-//! Both are measured by the same yardstick at the same time, by route: what is bad of the version before
-//! is what the ordered one is compared with. Two tests run on the counts of all processes. A cumulative
-//! sum finds a version that is worse, also one that turns bad after many good answers. A sequential
-//! probability ratio test finds one that is as good. Errors aren't equal: doubt is no proof of good.
+//! Both versions are measured by the same criteria over the same time, on each route: the fraction of bad
+//! answers of the base version is the reference for the ordered one. Two sequential tests run on the sums of
+//! the counts of all processes. A cumulative sum (CUSUM) detects a version that is worse, also one that turns
+//! bad after many good answers. A sequential probability ratio test (SPRT) detects a version that is as good.
+//! While neither test has a result, the version isn't assumed to be good.
+//!
+//! Both tests add up log-likelihood ratios: the natural logarithm of how much likelier the answers are from
+//! a worse version than from one as good as the base.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Evidence, as a log of a likelihood ratio, from which on a version counts as worse: a hundred to one.
-const WORSE: f64 = 4.6;
-/// Evidence from which on a version counts as good over all routes.
-const GOOD: f64 = -4.6;
-/// The same for each route: ten to one.
-const GOOD_ROUTE: f64 = -2.3;
-/// Part of the answers from which on a route has to be found good by itself.
-const ROUTE_PART: f64 = 0.03;
-/// Bad answers of a version that counts as worse: this part in all more than the one before has, and
-/// that times as many.
-const MORE: f64 = 0.12;
-/// See [`MORE`].
-const TIMES: f64 = 1.5;
-/// Lowest part of bad answers that is assumed of the version before.
-const FLOOR: f64 = 0.01;
-/// Highest part of bad answers that is told from a higher one.
-const CEILING: f64 = 0.9;
-/// How much slower than usual a slow answer is.
-const SLOW: f64 = 2.0;
-/// Answers of the version before by which it is known what is usual.
-const USUAL_MIN: u64 = 5;
-/// Weight of the newest answer in what is usual.
-const NEWEST: f64 = 0.05;
-/// Events of a stream from which on its pace is measured.
-const PACED: u32 = 3;
-
-/// Answers of a version on a route.
+/// Log-likelihood ratio from which on a version is judged worse: odds of 100 to 1.
+const BAD_LOG_RATIO: f64 = 4.6;
+/// Log-likelihood ratio over all routes up to which a version is judged good: odds of 100 to 1.
+const GOOD_LOG_RATIO: f64 = -4.6;
+/// Log-likelihood ratio that a version judged good must not exceed on any single route: odds of 10 to 1.
+const GOOD_ROUTE_LOG_RATIO: f64 = -2.3;
+/// Fraction of the base version's answers above which a route must be judged good on its own.
+const MIN_ROUTE_FRACTION: f64 = 0.03;
+/// A worse version is assumed to have [`WORSE_FACTOR`] times the base version's fraction of bad answers,
+/// plus this fraction of all answers.
+const WORSE_MARGIN: f64 = 0.12;
+/// Factor between the fractions of bad answers of the base and of a worse version; see [`WORSE_MARGIN`].
+const WORSE_FACTOR: f64 = 1.5;
+/// Smallest fraction of bad answers that is assumed of the base version.
+const MIN_BAD_FRACTION: f64 = 0.01;
+/// Upper bound of the fraction of bad answers that is assumed of a worse version.
+const MAX_BAD_FRACTION: f64 = 0.9;
+/// Factor to the base version's mean time above which an answer is slow.
+const SLOW_FACTOR: f64 = 2.0;
+/// Answers of the base version after which its mean times are used.
+const MIN_BASELINE_ANSWERS: u64 = 5;
+/// Smallest weight of the newest answer in the mean times of the base version.
+const MIN_NEWEST_WEIGHT: f64 = 0.05;
+/// Events of a stream after the first one, from which on the time between events is measured.
+const MIN_PACED_EVENTS: u32 = 3;
+
+/// Number of answers of a version on a route, by how they were judged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tally {
-    /// All that could be judged.
+    /// All answers that could be judged.
     pub answers: u64,
-    /// Those that failed or never came whole.
+    /// Answers that failed or didn't arrive completely.
     pub failed: u64,
-    /// Those that were slow.
+    /// Complete answers that were slow.
     pub slow: u64,
 }
 
 /// How a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// With a failure, or not whole.
+    /// The answer was a failure, or didn't arrive completely.
     Failed,
-    /// Whole.
+    /// The whole answer arrived.
     Whole {
-        /// Time to the first event or the head, for each token that was read for it.
+        /// Time to the first event or the response head, divided by the tokens that the target read for it.
         first: Duration,
-        /// Time from the first event to the last, and events after the first.
+        /// Time from the first event to the last, and the number of events after the first.
         rest: (Duration, u32),
     },
 }
 
-/// Whether a version is worse than the one before.
+/// Result of comparing the ordered version with the base version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Judgement {
-    /// It is.
+    /// The ordered version is worse.
     Bad,
-    /// It isn't.
+    /// The ordered version is as good.
     Good,
-    /// That can't be said yet.
-    Doubt,
+    /// There is too little evidence for either.
+    Inconclusive,
 }
 
+/// Answers of both versions on a route.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pair {
-    before: Tally,
-    after: Tally,
+struct TallyPair {
+    base: Tally,
+    ordered: Tally,
 }
 
-/// What the version before usually takes, as means of logarithms.
+/// Usual times of the base version on a route: moving averages of natural logarithms of seconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
+struct Baseline {
+    /// Answers in `log_first`.
     answers: u64,
-    first: f64,
-    paced: u64,
-    pace: f64,
+    /// Average of the time to the first event for each token that was read.
+    log_first: f64,
+    /// Answers in `log_pace`.
+    paced_answers: u64,
+    /// Average of the time between two events of a stream.
+    log_pace: f64,
 }
 
-/// Answers of this process, and those of all.
+/// Tallies of this process and of all processes for one rollout, by route, with the state of the tests.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    own: BTreeMap<String, Pair>,
-    usual: BTreeMap<String, Usual>,
-    all: BTreeMap<String, Pair>,
-    /// Evidence that the ordered version is worse, by route; the empty name stands for all.
-    worse: BTreeMap<String, f64>,
-    /// What that was counted from.
+    own: BTreeMap<String, TallyPair>,
+    baselines: BTreeMap<String, Baseline>,
+    /// Sums over all processes.
+    totals: BTreeMap<String, TallyPair>,
+    /// Cumulative sums of the log-likelihood ratio that the ordered version is worse; never negative. The
+    /// empty route name stands for all routes together.
+    cusums: BTreeMap<String, f64>,
+    /// Tallies of the ordered version that `cusums` already include.
     counted: BTreeMap<String, Tally>,
 }
 
 impl Tally {
-    fn bad(&self) -> u64 {
+    fn bad_answers(&self) -> u64 {
         self.failed + self.slow
     }
 
@@ -110,135 +121,155 @@
     }
 }
 
-impl Usual {
-    fn learn(&mut self, first: f64, pace: Option<f64>) {
-        approach(&mut self.first, &mut self.answers, first);
-        if let Some(pace) = pace {
-            approach(&mut self.pace, &mut self.paced, pace);
+impl Baseline {
+    /// Adds an answer of the base version, by its logarithmic times; `log_pace` is `None` if the answer has
+    /// too few events.
+    fn add(&mut self, log_first: f64, log_pace: Option<f64>) {
+        update_mean(&mut self.log_first, &mut self.answers, log_first);
+        if let Some(log_pace) = log_pace {
+            update_mean(&mut self.log_pace, &mut self.paced_answers, log_pace);
         }
     }
 
-    fn is_slow(&self, first: f64, pace: Option<f64>) -> bool {
-        let slow = SLOW.ln();
-        let paced = self.paced >= USUAL_MIN;
-        first - self.first > slow || pace.is_some_and(|pace| paced && pace - self.pace > slow)
+    /// Whether an answer with these logarithmic times is slow, by its first event or its pace.
+    fn is_slow(&self, log_first: f64, log_pace: Option<f64>) -> bool {
+        let log_slow = SLOW_FACTOR.ln();
+        let has_pace = self.paced_answers >= MIN_BASELINE_ANSWERS;
+        log_first - self.log_first > log_slow
+            || log_pace.is_some_and(|log_pace| has_pace && log_pace - self.log_pace > log_slow)
     }
 }
 
-/// Moves a mean towards a value: all count alike at first, the newest more later on.
-fn approach(mean: &mut f64, count: &mut u64, value: f64) {
+/// Adds a value to a moving average: the plain mean of the first 20 values, and an exponential moving
+/// average after that.
+fn update_mean(mean: &mut f64, count: &mut u64, value: f64) {
     *count += 1;
-    let weight = NEWEST.max(1.0 / *count as f64);
+    let weight = MIN_NEWEST_WEIGHT.max(1.0 / *count as f64);
     *mean += weight * (value - *mean);
 }
 
-impl Pair {
-    /// Part of bad answers of the version before, and of one that counts as worse.
-    fn parts(&self) -> (f64, f64) {
-        let before = (self.before.bad() as f64 + 1.0) / (self.before.answers as f64 + 20.0);
-        let before = before.clamp(FLOOR, CEILING / TIMES - MORE);
-        (before, before * TIMES + MORE)
+impl TallyPair {
+    /// Returns the fractions of bad answers that the tests assume: of the base version, estimated from its
+    /// tally with a prior of one bad answer in 20, and of a worse version.
+    fn bad_fractions(&self) -> (f64, f64) {
+        let base = (self.base.bad_answers() as f64 + 1.0) / (self.base.answers as f64 + 20.0);
+        let base = base.clamp(MIN_BAD_FRACTION, MAX_BAD_FRACTION / WORSE_FACTOR - WORSE_MARGIN);
+        (base, base * WORSE_FACTOR + WORSE_MARGIN)
     }
 
-    /// Evidence in answers that the ordered version is worse.
-    fn weight(&self, bad: u64, answers: u64) -> f64 {
-        let (before, worse) = self.parts();
+    /// Returns the log-likelihood ratio of so many bad answers of the ordered version among `answers`:
+    /// positive if a worse version gives them more likely than one as good as the base.
+    fn log_ratio(&self, bad: u64, answers: u64) -> f64 {
+        let (base, worse) = self.bad_fractions();
         let good = answers.saturating_sub(bad);
-        bad as f64 * (worse / before).ln() + good as f64 * ((1.0 - worse) / (1.0 - before)).ln()
+        bad as f64 * (worse / base).ln() + good as f64 * ((1.0 - worse) / (1.0 - base)).ln()
     }
 
-    fn total(&self) -> f64 {
-        self.weight(self.after.bad(), self.after.answers)
+    /// Returns the log-likelihood ratio of all answers of the ordered version.
+    fn total_log_ratio(&self) -> f64 {
+        self.log_ratio(self.ordered.bad_answers(), self.ordered.answers)
     }
 }
 
 impl Evidence {
-    /// Learns from an answer of the version before or of the ordered one.
-    pub fn learn(&mut self, route: &str, ordered: bool, answer: Answer) {
-        let usual = self.usual.entry(route.to_owned()).or_default();
+    /// Counts an answer of the ordered version if `is_ordered`, otherwise of a base version. Complete
+    /// answers aren't judged until the route's baseline has enough answers.
+    pub fn record(&mut self, route: &str, is_ordered: bool, answer: Answer) {
+        let baseline = self.baselines.entry(route.to_owned()).or_default();
         let pair = self.own.entry(route.to_owned()).or_default();
-        let tally = if ordered { &mut pair.after } else { &mut pair.before };
+        let tally = if is_ordered { &mut pair.ordered } else { &mut pair.base };
         let Answer::Whole { first, rest: (time, events) } = answer else {
             tally.answers += 1;
             tally.failed += 1;
             return;
         };
-        let first = log(first);
-        let pace = (events >= PACED).then(|| log(time / events));
-        if usual.answers >= USUAL_MIN {
+        let log_first = log_seconds(first);
+        let log_pace = (events >= MIN_PACED_EVENTS).then(|| log_seconds(time / events));
+        if baseline.answers >= MIN_BASELINE_ANSWERS {
             tally.answers += 1;
-            tally.slow += u64::from(usual.is_slow(first, pace));
+            tally.slow += u64::from(baseline.is_slow(log_first, log_pace));
         }
-        if !ordered {
-            usual.learn(first, pace);
+        if !is_ordered {
+            baseline.add(log_first, log_pace);
         }
     }
 
-    /// What this process counted.
-    pub fn own(&self) -> Vec<(String, Tally, Tally)> {
+    /// Returns the tallies of this process by route: of the base version, and of the ordered one.
+    pub fn own_tallies(&self) -> Vec<(String, Tally, Tally)> {
         let pairs = self.own.iter();
-        pairs.map(|(route, pair)| (route.clone(), pair.before, pair.after)).collect()
+        pairs.map(|(route, pair)| (route.clone(), pair.base, pair.ordered)).collect()
     }
 
-    /// Begins to sum up, with what this process counted.
-    pub fn begin(&mut self) {
-        self.all = self.own.clone();
+    /// Resets the totals to the tallies of this process, before those of the peers are added.
+    pub fn reset_totals(&mut self) {
+        self.totals = self.own.clone();
     }
 
-    /// Adds what another process counted.
-    pub fn add(&mut self, tallies: &[(String, Tally, Tally)]) {
-        for (route, before, after) in tallies {
-            let pair = self.all.entry(route.clone()).or_default();
-            pair.before.add(before);
-            pair.after.add(after);
+    /// Adds the tallies of a peer to the totals.
+    pub fn add_peer(&mut self, tallies: &[(String, Tally, Tally)]) {
+        for (route, base, ordered) in tallies {
+            let pair = self.totals.entry(route.clone()).or_default();
+            pair.base.add(base);
+            pair.ordered.add(ordered);
         }
     }
 
-    /// Weighs what came since the last sum.
-    pub fn finish(&mut self) {
-        let mut sums: Vec<(String, Pair)> =
-            self.all.iter().map(|(route, pair)| (route.clone(), *pair)).collect();
-        sums.push((String::new(), self.sum()));
-        for (route, pair) in sums {
+    /// Adds the answers that the totals gained since the last call to the cumulative sums.
+    pub fn update_cusums(&mut self) {
+        let mut pairs: Vec<(String, TallyPair)> =
+            self.totals.iter().map(|(route, pair)| (route.clone(), *pair)).collect();
+        pairs.push((String::new(), self.sum_routes()));
+        for (route, pair) in pairs {
             let counted = self.counted.entry(route.clone()).or_default();
-            // A process that started again counts from nothing: its answers of before are weighed.
-            let answers = pair.after.answers.saturating_sub(counted.answers);
-            let bad = pair.after.bad().saturating_sub(counted.bad());
-            let worse = self.worse.entry(route).or_default();
-            *worse = (*worse + pair.weight(bad.min(answers), answers)).max(0.0);
-            *counted = pair.after;
+            // Totals shrink when a process restarts, since its counts begin at zero: the cumulative sum
+            // already includes its earlier answers.
+            let answers = pair.ordered.answers.saturating_sub(counted.answers);
+            let bad = pair.ordered.bad_answers().saturating_sub(counted.bad_answers());
+            let cusum = self.cusums.entry(route).or_default();
+            *cusum = (*cusum + pair.log_ratio(bad.min(answers), answers)).max(0.0);
+            *counted = pair.ordered;
         }
     }
 
-    /// Which version is worse.
+    /// Judges the ordered version by the totals and the cumulative sums.
     pub fn judge(&self) -> Judgement {
-        if self.worse.values().any(|&worse| worse >= WORSE) {
+        if self.cusums.values().any(|&cusum| cusum >= BAD_LOG_RATIO) {
             return Judgement::Bad;
         }
-        let all = self.sum();
-        let weighty =
-            |pair: &&Pair| pair.before.answers as f64 > all.before.answers as f64 * ROUTE_PART;
-        let routes = self.all.values().filter(weighty).all(|pair| pair.total() <= GOOD_ROUTE);
-        let enough = all.before.answers >= USUAL_MIN;
-        if enough && routes && all.total() <= GOOD { Judgement::Good } else { Judgement::Doubt }
+        let all = self.sum_routes();
+        let is_busy = |pair: &&TallyPair| {
+            pair.base.answers as f64 > all.base.answers as f64 * MIN_ROUTE_FRACTION
+        };
+        let are_routes_good = self
+            .totals
+            .values()
+            .filter(is_busy)
+            .all(|pair| pair.total_log_ratio() <= GOOD_ROUTE_LOG_RATIO);
+        let has_baseline = all.base.answers >= MIN_BASELINE_ANSWERS;
+        if has_baseline && are_routes_good && all.total_log_ratio() <= GOOD_LOG_RATIO {
+            Judgement::Good
+        } else {
+            Judgement::Inconclusive
+        }
     }
 
-    /// Answers of both versions, over all routes and processes.
+    /// Returns the answers over all routes and processes: of the base version, and of the ordered one.
     pub fn totals(&self) -> (Tally, Tally) {
-        let all = self.sum();
-        (all.before, all.after)
+        let all = self.sum_routes();
+        (all.base, all.ordered)
     }
 
-    fn sum(&self) -> Pair {
-        let mut sum = Pair::default();
-        for pair in self.all.values() {
-            sum.before.add(&pair.before);
-            sum.after.add(&pair.after);
+    fn sum_routes(&self) -> TallyPair {
+        let mut sum = TallyPair::default();
+        for pair in self.totals.values() {
+            sum.base.add(&pair.base);
+            sum.ordered.add(&pair.ordered);
         }
         sum
     }
 }
 
-fn log(time: Duration) -> f64 {
+/// Returns the natural logarithm of a time in seconds; times below a nanosecond count as one.
+fn log_seconds(time: Duration) -> f64 {
     time.as_secs_f64().max(1e-9).ln()
 }
--- a/components/scheduler/src/direct/rollout/message.rs
+++ b/components/scheduler/src/direct/rollout/message.rs
@@ -1,4 +1,4 @@
-//! What is ordered, reported and told of roll-outs.
+//! Data of rollouts that this process exchanges with the operator, its peers and the log.
 
 use std::time::Duration;
 
@@ -8,111 +8,114 @@
 use super::Tally;
 use crate::direct::relay::{Era, Position};
 
-/// Version of the software of a target.
+/// Software version of a target, as the platform lists it.
 pub type Version = String;
 
-/// What an operator orders.
+/// An operator's order to roll a version out to a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// The pool.
+    /// Pool whose requests are shifted.
     pub pool: PoolName,
-    /// The version that its requests move to.
+    /// The ordered version: the requests are shifted to the targets that run it.
     pub target: Version,
-    /// Time from the order within which it is to be decided.
+    /// Time from the order to the deadline of the rollout.
     pub duration: Duration,
-    /// Where the order stands; a later one replaces it.
+    /// Position of the order in the platform service's stream; a later order for the pool replaces it.
     pub position: Position,
 }
 
-/// How far a roll-out is.
+/// Progress of a rollout.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Progress {
-    /// It isn't decided.
+    /// The rollout hasn't ended yet.
     Running,
-    /// All requests go to the ordered version.
+    /// The rollout succeeded: all requests go to the ordered version.
     Completed,
-    /// None does.
+    /// The rollout failed: no requests go to the ordered version.
     RolledBack,
 }
 
-/// What the platform's service is told of a roll-out.
+/// Progress of a rollout, as reported to the platform service or read from it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// The pool.
+    /// Pool of the rollout.
     pub pool: PoolName,
     /// The ordered version.
     pub target: Version,
-    /// How far it is.
+    /// Progress of the rollout.
     pub progress: Progress,
-    /// Whether a final report that stands there is of an earlier order.
+    /// Whether this report replaces a final report of the same version that belongs to an earlier order;
+    /// always false in reports that were read.
     pub renews: bool,
 }
 
-/// What a process tells the others of a roll-out.
+/// State of a rollout at one process, as sent to its peers in its row.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Share {
-    /// The order.
+    /// Order that the process follows.
     pub order: Order,
-    /// Time since it was given, as far as is known.
+    /// Time since the operator gave the order: the longest that the process knows of.
     pub age: Duration,
-    /// How far it is, as this process holds.
+    /// Progress as the process has decided or learnt it.
     pub progress: Progress,
-    /// What the platform's service is known to say.
+    /// Progress that the platform service is known to store; `None` if unknown.
     pub reported: Option<Progress>,
-    /// The era in which it said so.
+    /// Era of the platform service in which `reported` was stored.
     pub era: Era,
-    /// Whether the process sends nothing to old targets any more, and has nothing there.
+    /// Whether the process has finished the traffic shift: it dispatches no request to targets of other
+    /// versions, and has none in flight there.
     pub moved: bool,
-    /// Answers by route: of the version before, and of the ordered one.
+    /// Answers that the process counted, by route: of the base version, and of the ordered one. Empty after
+    /// the rollout's end.
     pub tallies: Vec<(String, Tally, Tally)>,
 }
 
-/// Which targets of a pool a request may go to.
+/// Group of a pool's targets that a request may be dispatched to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Lane {
-    /// Those of the version in use.
+    /// Targets of the pool's base versions.
     #[default]
     Base,
-    /// Those of the version that is ordered.
+    /// Targets of the ordered version.
     Ordered,
-    /// Those that take no requests.
+    /// Targets that take no requests.
     Shut,
 }
 
-/// A step of a roll-out, for the log.
+/// A step of a rollout, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// The pool.
+    /// Pool of the rollout.
     pub pool: PoolName,
     /// The ordered version.
     pub target: Version,
-    /// What is done.
+    /// Action that was taken.
     pub action: Action,
-    /// Time since the order.
+    /// Time since the operator gave the order.
     pub age: Duration,
-    /// Dispatches of this process to the pool since, and those to the ordered version.
+    /// Dispatches of this process to the pool since the order: to any version, and to the ordered one.
     pub dispatched: (u64, u64),
-    /// Answers of the version before, over all processes.
+    /// Answers of the base version, over all processes.
     pub before: Tally,
     /// Answers of the ordered version, over all processes.
     pub after: Tally,
 }
 
-/// What is done in a roll-out.
+/// Action that a process takes in a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// The ordered version is on trial.
+    /// Starts the canary phase of a new order.
     Try,
-    /// It was found good: requests move to it.
+    /// Starts the traffic shift, since the ordered version was judged good.
     Move,
-    /// All requests go to it from now on.
+    /// Completes the rollout: the ordered version becomes the base version.
     Complete,
-    /// It is worse than the version before.
+    /// Rolls back, since the ordered version was judged worse than the base version.
     RollBack,
-    /// It wasn't found good in time.
+    /// Rolls back, since the ordered version wasn't judged good before the deadline.
     GiveUp,
-    /// The operator took the order back.
+    /// Rolls back without a report, since the operator withdrew the order.
     Withdraw,
-    /// Another process, or the platform's service, says that it is decided.
+    /// Adopts the final progress that a peer or the platform service stated.
     Follow(Progress),
 }
