--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -366,7 +366,7 @@
         let Some(rollout) = self.rollouts.get_mut(pool) else {
             return false;
         };
-        // Until the stored report is known, another process may already have rolled back.
+        // Until the stored report is known, an earlier incarnation or a peer may already have rolled back.
         if !rollout.is_active() || rollout.reported.is_none() || is_isolated {
             return false;
         }
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -1,8 +1,8 @@
-//! Direct dispatch while a pool's requests move to another version.
+//! Tests of rollouts: direct dispatch while a pool's requests are shifted to another version.
 //!
-//! Load: four entry processes before twelve old targets and as many of the ordered version, 150 requests
-//! a second on two routes. The ordered version is good, fails a part of its requests, is slow, is so on
-//! one route only, or turns so later; processes are cut off from each other, and start again.
+//! Load: four entry processes, twelve targets of the old version and twelve of the ordered version, and 150
+//! requests a second on two routes. The ordered version is good, or it fails some requests or is slow: from
+//! the start or later, on both routes or on one. Processes lose the connection to their peers, and restart.
 
 mod direct_support;
 
@@ -22,76 +22,92 @@
 };
 use test_case::test_case;
 
-const STEP: Duration = Duration::from_millis(10);
+/// Virtual time of one simulation step.
+const STEP_TIME: Duration = Duration::from_millis(10);
 const PROCESSES: usize = 4;
-const TARGETS: u16 = 12;
-/// Of all processes together.
-const PER_STEP: f64 = 1.5;
-const DURATION: Duration = Duration::from_secs(12);
-const ALLOWED: f64 = 0.1;
-/// Requests beyond the allowed share, over all processes.
-const SLACK: f64 = 50.0;
-
-/// How the ordered version is.
+const TARGETS_PER_VERSION: u16 = 12;
+/// Mean number of requests that arrive in a step at all processes together.
+const REQUESTS_PER_STEP: f64 = 1.5;
+/// Time from the order to the deadline of the rollout.
+const ROLLOUT_DURATION: Duration = Duration::from_secs(12);
+/// Share of the requests that a version may get before it is judged good, as in the fixture's settings.
+const EXPOSURE_LIMIT: f64 = 0.1;
+/// Requests to the ordered version that are tolerated beyond its share, over all processes.
+const EXPOSURE_SLACK: f64 = 50.0;
+
+/// How targets of the ordered version behave.
 #[derive(Clone, Copy, Debug)]
-struct Version {
-    failing: f64,
-    slower: f64,
-    /// Steps after the order at which it turns so.
-    from: u32,
-    /// Whether only one of the routes is affected.
-    one_route: bool,
+struct Behaviour {
+    /// Fraction of the requests that fail, from 0 to 1.
+    failure_rate: f64,
+    /// Factor to the time of a request at a target of the old version.
+    slowdown: f64,
+    /// Steps after the order before which the version behaves like the old one.
+    from_step: u32,
+    /// Whether only the requests of the route `/b/` fail or are slow.
+    is_one_route_only: bool,
 }
 
-const GOOD: Version = Version { failing: 0.0, slower: 1.0, from: 0, one_route: false };
+const GOOD: Behaviour =
+    Behaviour { failure_rate: 0.0, slowdown: 1.0, from_step: 0, is_one_route_only: false };
 
+/// Simulation of the entry processes, the targets and the platform service in virtual time.
 struct World {
     processes: Vec<Process>,
-    version: Version,
+    behaviour: Behaviour,
     random: StdRng,
+    /// Current step; set to 0 when the order is given.
     step: u32,
-    tickets: Ticket,
-    /// When each dispatch ends, and how.
-    running: BTreeMap<(u32, usize, Ticket), Outcome>,
-    /// What the platform's service says.
-    status: Option<Report>,
-    /// Processes that hear no other, and don't reach the platform's service.
-    cut: BTreeSet<usize>,
-    /// Part of the rows that are lost; as many come twice, or after later ones.
-    lossy: f64,
-    late: Vec<(usize, Row)>,
+    /// Ticket of the newest request.
+    last_ticket: Ticket,
+    /// Outcome of each dispatch in flight, by the step in which it ends, its process and its ticket.
+    in_flight: BTreeMap<(u32, usize, Ticket), Outcome>,
+    /// Report that the platform service stores.
+    stored_report: Option<Report>,
+    /// Processes without a connection to their peers and to the platform service.
+    isolated: BTreeSet<usize>,
+    /// Fraction of the rows that are lost; the same fraction arrives twice, or after newer ones.
+    loss_rate: f64,
+    /// Copies of rows to deliver later, with the receiving process.
+    delayed_rows: Vec<(usize, Row)>,
+    /// Dispatches since the order, over all processes.
     dispatched: u32,
-    exposed: u32,
-    /// Steps at which the ordered version answered badly, and at which it got a request.
-    bad: Vec<u32>,
-    sent: Vec<u32>,
-    decided: Option<u32>,
+    /// Dispatches to the ordered version since the order, over all processes.
+    to_ordered: u32,
+    /// Steps in which the ordered version ends a failed or slow answer.
+    bad_answer_steps: Vec<u32>,
+    /// Steps in which a request was dispatched to the ordered version.
+    ordered_dispatch_steps: Vec<u32>,
+    /// Step in which the platform service stored a final report.
+    decided_step: Option<u32>,
+    /// Actions that processes took, in order.
     actions: Vec<Action>,
-    /// Old targets that had something when the status became final.
-    cut_off: usize,
+    /// Requests in flight at targets of the old version when the platform service stored a final report.
+    old_in_flight_at_end: usize,
 }
 
 fn order() -> Order {
     let position = Position { era: 1, offset: 9 };
-    Order { pool: "pool".into(), target: "v2".into(), duration: DURATION, position }
+    Order { pool: "pool".into(), target: "v2".into(), duration: ROLLOUT_DURATION, position }
 }
 
-fn targets(version: &str, from: u16) -> Vec<Target> {
-    let made = (from..from + TARGETS).map(target);
+fn targets(version: &str, first_number: u16) -> Vec<Target> {
+    let made = (first_number..first_number + TARGETS_PER_VERSION).map(target);
     made.map(|target| Target { version: version.into(), slots: 9, ..target }).collect()
 }
 
 fn all_targets() -> Vec<Target> {
     let mut all = targets("v1", 0);
-    all.extend(targets("v2", TARGETS));
+    all.extend(targets("v2", TARGETS_PER_VERSION));
     all
 }
 
-/// A process that knows the configuration and the old targets, at a time.
-fn joined(number: usize, at: Option<&Process>) -> Process {
+/// Returns a process that has read the configuration and the targets of the old version; its clock is
+/// that of `clock`, or the current time for `None`.
+fn started_process(number: usize, clock: Option<&Process>) -> Process {
     let mut process = blank(number as u16 + 1);
-    if let Some(at) = at {
-        process.now = at.now;
+    if let Some(clock) = clock {
+        process.now = clock.now;
     }
     let routes = vec![route("/a/", Repeat::Safe), route("/b/", Repeat::Never)];
     process.send(Event::Planned(plan(1, routes, None).into()));
@@ -100,178 +116,190 @@
     process
 }
 
-fn world(version: Version, seed: u64) -> World {
-    let mut processes: Vec<Process> = (0..PROCESSES).map(|number| joined(number, None)).collect();
+fn world(behaviour: Behaviour, seed: u64) -> World {
+    let mut processes: Vec<Process> =
+        (0..PROCESSES).map(|number| started_process(number, None)).collect();
     let now = processes[0].now;
     for process in &mut processes {
         process.now = now;
     }
     World {
         processes,
-        version,
+        behaviour,
         random: StdRng::seed_from_u64(seed),
         step: 0,
-        tickets: 0,
-        running: BTreeMap::new(),
-        status: None,
-        cut: BTreeSet::new(),
-        lossy: 0.0,
-        late: Vec::new(),
+        last_ticket: 0,
+        in_flight: BTreeMap::new(),
+        stored_report: None,
+        isolated: BTreeSet::new(),
+        loss_rate: 0.0,
+        delayed_rows: Vec::new(),
         dispatched: 0,
-        exposed: 0,
-        bad: Vec::new(),
-        sent: Vec::new(),
-        decided: None,
+        to_ordered: 0,
+        bad_answer_steps: Vec::new(),
+        ordered_dispatch_steps: Vec::new(),
+        decided_step: None,
         actions: Vec::new(),
-        cut_off: 0,
+        old_in_flight_at_end: 0,
     }
 }
 
 impl World {
-    fn take(&mut self, index: usize, effects: Vec<Effect>) {
+    /// Records the rollout actions among the effects of a process, and runs its dispatches.
+    fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in &effects {
             if let Effect::Note(Note::Rollout(step)) = effect {
                 self.actions.push(step.action);
             }
         }
         for start in starts(&effects) {
-            let ordered = start.address.port() >= 1_000 + TARGETS;
-            let first_route = start.repeatable;
-            let turned = self.step >= self.version.from && !(self.version.one_route && first_route);
-            let mut held: f64 = self.random.random_range(15.0..35.0);
+            let is_ordered = start.address.port() >= 1_000 + TARGETS_PER_VERSION;
+            let is_first_route = start.repeatable;
+            let is_bad = self.step >= self.behaviour.from_step
+                && !(self.behaviour.is_one_route_only && is_first_route);
+            let mut held_steps: f64 = self.random.random_range(15.0..35.0);
             let mut outcome = Outcome::Done;
             self.dispatched += 1;
-            if ordered {
-                self.exposed += 1;
-                self.sent.push(self.step);
-                if turned {
-                    held *= self.version.slower;
-                    if self.random.random_bool(self.version.failing) {
+            if is_ordered {
+                self.to_ordered += 1;
+                self.ordered_dispatch_steps.push(self.step);
+                if is_bad {
+                    held_steps *= self.behaviour.slowdown;
+                    if self.random.random_bool(self.behaviour.failure_rate) {
                         outcome = Outcome::Failed;
                     }
-                    if outcome == Outcome::Failed || self.version.slower > 1.5 {
-                        self.bad.push(self.step + held as u32);
+                    if outcome == Outcome::Failed || self.behaviour.slowdown > 1.5 {
+                        self.bad_answer_steps.push(self.step + held_steps as u32);
                     }
                 }
             }
-            self.running.insert((self.step + held as u32, index, start.ticket), outcome);
+            self.in_flight.insert((self.step + held_steps as u32, index, start.ticket), outcome);
         }
     }
 
     fn send(&mut self, index: usize, event: Event) {
         let effects = self.processes[index].send(event);
-        self.take(index, effects);
+        self.apply(index, effects);
     }
 
+    /// Simulates one step: timers, answers that are due, new requests, and every 100 ms the exchange of rows
+    /// and reports.
     fn tick(&mut self) {
         self.step += 1;
         for index in 0..self.processes.len() {
-            let effects = self.processes[index].pass(STEP);
-            self.take(index, effects);
+            let effects = self.processes[index].pass(STEP_TIME);
+            self.apply(index, effects);
         }
-        let due = (self.step + 1, 0, 0);
-        let later = self.running.split_off(&due);
-        for ((_, index, ticket), outcome) in std::mem::replace(&mut self.running, later) {
+        let first_later = (self.step + 1, 0, 0);
+        let later = self.in_flight.split_off(&first_later);
+        for ((_, index, ticket), outcome) in std::mem::replace(&mut self.in_flight, later) {
             self.send(index, Event::Began { ticket });
             let events = 0;
             self.send(index, Event::Ended { ticket, outcome, begun: false, events });
         }
-        let arriving = PER_STEP as usize + usize::from(self.random.random_bool(PER_STEP.fract()));
+        let arriving = REQUESTS_PER_STEP as usize
+            + usize::from(self.random.random_bool(REQUESTS_PER_STEP.fract()));
         for _ in 0..arriving {
-            self.tickets += 1;
+            self.last_ticket += 1;
             let path = if self.random.random_bool(0.7) { "/a/" } else { "/b/" };
-            let mut arrived = request(self.tickets, path);
+            let mut arrived = request(self.last_ticket, path);
             arrived.draw = self.random.random();
             let index = self.random.random_range(0..self.processes.len());
             self.send(index, Event::Arrived(arrived));
         }
         if self.step.is_multiple_of(10) {
-            self.exchange();
-            self.serve();
+            self.exchange_rows();
+            self.exchange_reports();
         }
     }
 
-    /// All that aren't cut off tell each other.
-    fn exchange(&mut self) {
+    /// Sends the row of each process that isn't isolated to all others that aren't.
+    fn exchange_rows(&mut self) {
         for from in 0..self.processes.len() {
             let now = self.processes[from].now.steady;
             let row = self.processes[from].state.row(now);
             for to in 0..self.processes.len() {
-                if from != to && !self.cut.contains(&from) && !self.cut.contains(&to) {
-                    self.tell(to, &row);
+                if from != to && !self.isolated.contains(&from) && !self.isolated.contains(&to) {
+                    self.deliver(to, &row);
                 }
             }
         }
     }
 
-    fn tell(&mut self, to: usize, row: &Row) {
-        if self.random.random_bool(self.lossy) {
+    /// Delivers a row to a process: the row may be lost, and copies of earlier rows may follow it.
+    fn deliver(&mut self, to: usize, row: &Row) {
+        if self.random.random_bool(self.loss_rate) {
             return;
         }
-        if self.random.random_bool(self.lossy) {
-            self.late.push((to, row.clone()));
+        if self.random.random_bool(self.loss_rate) {
+            self.delayed_rows.push((to, row.clone()));
         }
         self.send(to, Event::Heard(vec![row.clone()]));
-        if self.random.random_bool(self.lossy) && !self.late.is_empty() {
-            let place = self.random.random_range(0..self.late.len());
-            let (to, row) = self.late.swap_remove(place);
+        if self.random.random_bool(self.loss_rate) && !self.delayed_rows.is_empty() {
+            let position = self.random.random_range(0..self.delayed_rows.len());
+            let (to, row) = self.delayed_rows.swap_remove(position);
             self.send(to, Event::Heard(vec![row]));
         }
     }
 
-    /// A process starts again, with nothing that it knew but what it reads.
+    /// Restarts a process: it loses its state and its requests, and reads the targets and the order again.
     fn restart(&mut self, index: usize) {
         let other = (index + 1) % PROCESSES;
-        let at = Process { now: self.processes[other].now, ..joined(index, None) };
-        self.processes[index] = joined(index, Some(&at));
-        self.running.retain(|(_, running, _), _| *running != index);
+        let clock = Process { now: self.processes[other].now, ..started_process(index, None) };
+        self.processes[index] = started_process(index, Some(&clock));
+        self.in_flight.retain(|(_, process, _), _| *process != index);
         self.processes[index].list(all_targets());
         self.processes[index].send(Event::Ordered(order()));
     }
 
-    /// The platform's service takes reports, and says what stands there.
-    fn serve(&mut self) {
+    /// Confirms the configuration to each process that isn't isolated, stores its reports at the platform
+    /// service unless a final one is stored there, and sends it the stored report.
+    fn exchange_reports(&mut self) {
         for index in 0..self.processes.len() {
-            if self.cut.contains(&index) {
+            if self.isolated.contains(&index) {
                 continue;
             }
             let (boot, era) = (self.processes[index].now.boot, self.processes[index].era);
             self.send(index, Event::Confirmed { boot, version: 1, era });
             for report in self.processes[index].state.reports() {
-                let open = self.status.as_ref().is_none_or(|s| s.progress == Progress::Running);
-                if open && self.status.as_ref() != Some(&report) {
+                let stored = self.stored_report.as_ref();
+                let is_open = stored.is_none_or(|stored| stored.progress == Progress::Running);
+                if is_open && stored != Some(&report) {
                     if report.progress != Progress::Running {
-                        self.decided = Some(self.step);
-                        let old = |start: &(u32, usize, Ticket)| self.is_old(start.1, start.2);
-                        self.cut_off = self.running.keys().filter(|start| old(start)).count();
+                        self.decided_step = Some(self.step);
+                        let is_old =
+                            |key: &(u32, usize, Ticket)| self.is_at_old_target(key.1, key.2);
+                        self.old_in_flight_at_end =
+                            self.in_flight.keys().filter(|key| is_old(key)).count();
                     }
-                    self.status = Some(report);
+                    self.stored_report = Some(report);
                 }
-                let stands = self.status.clone().into_iter().collect();
-                self.send(index, Event::Reported(stands));
+                let stored = self.stored_report.clone().into_iter().collect();
+                self.send(index, Event::Reported(stored));
             }
         }
     }
 
-    fn is_old(&self, index: usize, ticket: Ticket) -> bool {
+    fn is_at_old_target(&self, index: usize, ticket: Ticket) -> bool {
         let process = &self.processes[index];
-        let view = process.state.target(ticket);
-        view.is_some_and(|target| target.version == "v1")
+        let target = process.state.target(ticket);
+        target.is_some_and(|target| target.version == "v1")
     }
 
-    /// The order comes together with the targets of its version.
-    fn begin(&mut self) {
+    /// Gives the order to all processes, together with the targets of the ordered version, and restarts the
+    /// count of steps and dispatches. All dispatches in flight end in the next step.
+    fn start_rollout(&mut self) {
         for index in 0..self.processes.len() {
             let effects = self.processes[index].list(all_targets());
-            self.take(index, effects);
+            self.apply(index, effects);
             self.send(index, Event::Ordered(order()));
         }
         self.step = 0;
-        self.running = std::mem::take(&mut self.running)
+        self.in_flight = std::mem::take(&mut self.in_flight)
             .into_iter()
             .map(|((_, index, ticket), outcome)| ((1, index, ticket), outcome))
             .collect();
-        (self.dispatched, self.exposed) = (0, 0);
+        (self.dispatched, self.to_ordered) = (0, 0);
     }
 
     fn run(&mut self, steps: u32) {
@@ -281,80 +309,92 @@
     }
 
     fn progress(&self) -> Option<Progress> {
-        self.status.as_ref().map(|status| status.progress)
+        self.stored_report.as_ref().map(|report| report.progress)
     }
 
-    /// What is owed whatever the version is.
+    /// Checks the limits that hold for any behaviour of the ordered version: its share of the requests, and
+    /// that it gets none later than 5 s after its fiftieth bad answer.
     fn check_exposure(&self) {
-        let most = ALLOWED * f64::from(self.dispatched) + SLACK;
-        assert!(f64::from(self.exposed) <= most, "{} of {}", self.exposed, self.dispatched);
-        let mut bad = self.bad.clone();
-        bad.sort_unstable();
-        if let Some(fiftieth) = bad.get(49) {
-            let late = self.sent.iter().filter(|&&at| at > fiftieth + 500).count();
-            assert_eq!(late, 0, "dispatched after the fiftieth bad answer");
+        let limit = EXPOSURE_LIMIT * f64::from(self.dispatched) + EXPOSURE_SLACK;
+        assert!(
+            f64::from(self.to_ordered) <= limit,
+            "{} of {} requests went to the ordered version",
+            self.to_ordered,
+            self.dispatched
+        );
+        let mut bad_answer_steps = self.bad_answer_steps.clone();
+        bad_answer_steps.sort_unstable();
+        if let Some(fiftieth) = bad_answer_steps.get(49) {
+            let late =
+                self.ordered_dispatch_steps.iter().filter(|&&at| at > fiftieth + 500).count();
+            assert_eq!(late, 0, "dispatches later than 5 s after the fiftieth bad answer");
         }
     }
 }
 
-const END: u32 = 1_200;
-
-#[test_case(1; "one")]
-#[test_case(2; "two")]
-#[test_case(3; "three")]
-#[test_case(4; "four")]
-#[test_case(5; "five")]
-#[test_case(6; "six")]
-fn a_good_version_is_completed_in_time_and_cuts_nothing(seed: u64) {
+/// Steps from the order to the deadline of the rollout.
+const ROLLOUT_STEPS: u32 = 1_200;
+
+/// Guards against a rollout that isn't completed before its deadline, or that is completed while old targets
+/// still have requests, which the operator's removal of these targets would interrupt.
+#[test_case(1; "seed 1")]
+#[test_case(2; "seed 2")]
+#[test_case(3; "seed 3")]
+#[test_case(4; "seed 4")]
+#[test_case(5; "seed 5")]
+#[test_case(6; "seed 6")]
+fn a_good_version_is_completed_in_time_without_requests_at_old_targets(seed: u64) {
     let mut world = world(GOOD, seed);
     world.run(200);
-    world.begin();
+    world.start_rollout();
 
-    world.run(END);
+    world.run(ROLLOUT_STEPS);
 
     assert_eq!(world.progress(), Some(Progress::Completed), "{:?}", world.actions);
-    assert_eq!(world.cut_off, 0);
+    assert_eq!(world.old_in_flight_at_end, 0);
 }
 
-#[test_case(Version { failing: 0.6, ..GOOD }; "fails most")]
-#[test_case(Version { failing: 0.3, ..GOOD }; "fails a third")]
-#[test_case(Version { failing: 0.15, ..GOOD }; "fails some")]
-#[test_case(Version { slower: 3.0, ..GOOD }; "is three times slower")]
-#[test_case(Version { slower: 8.0, ..GOOD }; "is eight times slower")]
-#[test_case(Version { failing: 0.5, one_route: true, ..GOOD }; "fails on one route")]
-#[test_case(Version { failing: 0.5, from: 500, ..GOOD }; "fails after five seconds")]
-#[test_case(Version { slower: 4.0, from: 400, ..GOOD }; "turns slow after four seconds")]
-fn a_bad_version_is_rolled_back_within_its_share(version: Version) {
-    check_rolled_back(version);
+#[test_case(Behaviour { failure_rate: 0.6, ..GOOD }; "fails most")]
+#[test_case(Behaviour { failure_rate: 0.3, ..GOOD }; "fails a third")]
+#[test_case(Behaviour { failure_rate: 0.15, ..GOOD }; "fails some")]
+#[test_case(Behaviour { slowdown: 3.0, ..GOOD }; "is three times slower")]
+#[test_case(Behaviour { slowdown: 8.0, ..GOOD }; "is eight times slower")]
+#[test_case(Behaviour { failure_rate: 0.5, is_one_route_only: true, ..GOOD }; "fails on one route")]
+#[test_case(Behaviour { failure_rate: 0.5, from_step: 500, ..GOOD }; "fails after five seconds")]
+#[test_case(Behaviour { slowdown: 4.0, from_step: 400, ..GOOD }; "turns slow after four seconds")]
+fn a_bad_version_is_rolled_back_within_the_exposure_limit(behaviour: Behaviour) {
+    check_rolled_back(behaviour);
 }
 
-fn check_rolled_back(version: Version) {
+/// Checks with five seeds that a version is rolled back and stays within the exposure limit.
+fn check_rolled_back(behaviour: Behaviour) {
     for seed in 0..5 {
-        let mut world = world(version, seed);
+        let mut world = world(behaviour, seed);
         world.run(200);
-        world.begin();
+        world.start_rollout();
 
-        world.run(END);
+        world.run(ROLLOUT_STEPS);
 
         assert_eq!(world.progress(), Some(Progress::RolledBack), "{:?}", world.actions);
         world.check_exposure();
     }
 }
 
-/// It is judged good, and turns bad when all requests move to it.
+/// The version is judged good in the canary phase, and turns bad during the traffic shift.
 #[test]
-fn a_version_that_turns_bad_in_the_move_is_rolled_back_within_its_share() {
-    check_rolled_back(Version { failing: 0.6, from: 850, ..GOOD });
+fn a_version_that_turns_bad_in_the_traffic_shift_is_rolled_back_within_the_exposure_limit() {
+    check_rolled_back(Behaviour { failure_rate: 0.6, from_step: 850, ..GOOD });
 }
 
+/// A process that receives no rows can't learn that its peers found the version bad.
 #[test]
-fn one_that_hears_nobody_sends_nothing_new() {
-    let mut world = world(Version { failing: 0.3, ..GOOD }, 1);
+fn an_isolated_process_sends_no_more_requests_to_the_ordered_version() {
+    let mut world = world(Behaviour { failure_rate: 0.3, ..GOOD }, 1);
     world.run(200);
-    world.begin();
+    world.start_rollout();
     world.run(50);
-    world.cut.insert(0);
-    // Rows of the others count for a while.
+    world.isolated.insert(0);
+    // The rows of its peers stay fresh for a while.
     world.run(100);
     let before = world.processes[0].state.exposed("pool");
 
@@ -363,42 +403,44 @@
     assert_eq!(world.processes[0].state.exposed("pool"), before);
 }
 
+/// The counts in the rows of a process begin at zero after its restart, so the totals shrink: answers must
+/// neither be counted twice nor hide new bad ones.
 #[test]
-fn a_process_that_starts_again_counts_nothing_twice() {
+fn a_bad_version_is_rolled_back_within_the_exposure_limit_after_a_process_restart() {
     for seed in 0..5 {
-        let mut world = world(Version { failing: 0.3, ..GOOD }, seed);
+        let mut world = world(Behaviour { failure_rate: 0.3, ..GOOD }, seed);
         world.run(200);
-        world.begin();
+        world.start_rollout();
         world.run(150);
         world.restart(0);
 
-        world.run(END - 150);
+        world.run(ROLLOUT_STEPS - 150);
 
         assert_eq!(world.progress(), Some(Progress::RolledBack), "{:?}", world.actions);
         world.check_exposure();
     }
 }
 
-/// Rows are lost, doubled and late; processes are cut off and start again in any order.
+/// Rows are lost, duplicated and delayed; processes lose their connections and restart in random order.
 #[test]
-fn whatever_happens_to_rows_and_processes_a_bad_version_keeps_to_its_share() {
+fn a_bad_version_stays_within_the_exposure_limit_despite_lost_rows_and_restarts() {
     for seed in 0..30 {
         let mut random = StdRng::seed_from_u64(seed);
-        let failing = random.random_range(0.15..0.9);
-        let from = random.random_range(0..600);
-        let mut world = world(Version { failing, from, ..GOOD }, seed);
+        let failure_rate = random.random_range(0.15..0.9);
+        let from_step = random.random_range(0..600);
+        let mut world = world(Behaviour { failure_rate, from_step, ..GOOD }, seed);
         world.run(200);
-        world.begin();
-        world.lossy = 0.3;
+        world.start_rollout();
+        world.loss_rate = 0.3;
 
         for _ in 0..12 {
             match random.random_range(0..4) {
                 0 => world.restart(random.random_range(0..PROCESSES)),
-                1 => drop(world.cut.insert(random.random_range(0..PROCESSES))),
-                2 => world.cut.clear(),
+                1 => drop(world.isolated.insert(random.random_range(0..PROCESSES))),
+                2 => world.isolated.clear(),
                 _ => {}
             }
-            world.run(END / 12);
+            world.run(ROLLOUT_STEPS / 12);
         }
 
         let completed = Some(Progress::Completed);
@@ -407,9 +449,11 @@
     }
 }
 
+/// Before its order a new version isn't wanted, and until a report is read, an earlier process may have rolled
+/// it back.
 #[test]
-fn before_the_order_and_without_a_report_the_version_gets_nothing() {
-    let mut process = joined(0, None);
+fn a_version_gets_no_requests_before_its_order_and_a_read_report() {
+    let mut process = started_process(0, None);
     process.list(all_targets());
     for ticket in 0..200 {
         process.arrive(request(ticket, "/a/"));
@@ -423,10 +467,11 @@
     assert_eq!(process.state.reports().len(), 1);
 }
 
+/// A process that doesn't reach the platform service gets the order in the row of a peer.
 #[test]
-fn an_order_is_learnt_from_another_process() {
-    let mut first = joined(0, None);
-    let mut second = joined(1, None);
+fn an_order_is_learnt_from_the_row_of_a_peer() {
+    let mut first = started_process(0, None);
+    let mut second = started_process(1, None);
     first.send(Event::Ordered(order()));
 
     let row = first.state.row(first.now.steady);
@@ -435,31 +480,33 @@
     assert_eq!(second.state.reports()[0].target, "v2");
 }
 
+/// The first final report that the platform service stores decides for all processes.
 #[test]
-fn what_the_platform_says_first_decides() {
-    let mut process = joined(0, None);
+fn a_stored_completion_ends_the_rollout_of_a_process() {
+    let mut process = started_process(0, None);
     process.list(all_targets());
     process.send(Event::Ordered(order()));
-    let said = Report {
+    let stored = Report {
         pool: "pool".into(),
         target: "v2".into(),
         progress: Progress::Completed,
         renews: false,
     };
 
-    process.send(Event::Reported(vec![said]));
+    process.send(Event::Reported(vec![stored]));
 
     let started = starts(&process.arrive(request(1, "/a/")));
-    assert!(started[0].address.port() >= address(1_000 + TARGETS).port());
+    assert!(started[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
     assert!(process.state.reports().is_empty());
 }
 
-/// Another process that hasn't seen the newer era yet still tells what stood in the older one.
+/// A platform service that was restored from an older copy may have lost reports. A peer that hasn't seen the
+/// new era yet still states in its row that they are stored.
 #[test]
-fn what_an_older_copy_lacks_is_reported_again() {
-    let mut first = joined(0, None);
-    let mut second = joined(1, None);
-    let said = Report {
+fn reports_are_sent_again_in_a_new_era() {
+    let mut first = started_process(0, None);
+    let mut second = started_process(1, None);
+    let stored = Report {
         pool: "pool".into(),
         target: "v2".into(),
         progress: Progress::RolledBack,
@@ -467,7 +514,7 @@
     };
     for process in [&mut first, &mut second] {
         process.send(Event::Ordered(order()));
-        process.send(Event::Reported(vec![said.clone()]));
+        process.send(Event::Reported(vec![stored.clone()]));
         assert!(process.state.reports().is_empty());
     }
 
@@ -476,12 +523,13 @@
     let row = second.state.row(second.now.steady);
     first.send(Event::Heard(vec![row]));
 
-    assert_eq!(first.state.reports(), [said]);
+    assert_eq!(first.state.reports(), [stored]);
 }
 
+/// The operator who withdrew the order expects no report of it, also in a new era.
 #[test]
-fn an_order_that_is_taken_back_ends_without_a_report() {
-    let mut process = joined(0, None);
+fn a_withdrawn_order_is_not_reported() {
+    let mut process = started_process(0, None);
     process.send(Event::Ordered(order()));
 
     let position = Position { era: 1, offset: 10 };
@@ -493,8 +541,9 @@
     assert!(process.state.reports().is_empty());
 }
 
+/// Without targets of the ordered version there are no answers to judge it by.
 #[test]
-fn a_service_without_targets_of_the_version_is_rolled_back() {
+fn a_rollout_without_targets_of_the_ordered_version_is_rolled_back() {
     let mut world = world(GOOD, 1);
     world.run(100);
     for index in 0..PROCESSES {
@@ -502,17 +551,17 @@
     }
     world.step = 0;
 
-    world.run(END);
+    world.run(ROLLOUT_STEPS);
 
     assert_eq!(world.progress(), Some(Progress::RolledBack));
 }
 
-/// Versions change without an order where all old targets are replaced.
+/// An operator may replace all old targets by ones of another version without an order: these must serve.
 #[test]
-fn a_version_is_used_without_an_order_where_no_other_is_left() {
-    let mut process = joined(0, None);
+fn a_version_is_used_without_an_order_if_no_target_runs_another() {
+    let mut process = started_process(0, None);
 
-    process.list(targets("v2", TARGETS));
+    process.list(targets("v2", TARGETS_PER_VERSION));
     process.pass(Duration::from_secs(3));
 
     assert_eq!(starts(&process.arrive(request(1, "/a/"))).len(), 1);
