--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -449,8 +449,8 @@
     }
 }
 
-/// Before its order a new version isn't wanted, and until a report is read, an earlier process may have rolled
-/// it back.
+/// Before its order a new version isn't wanted, and until a report is read, an earlier process may have
+/// rolled it back.
 #[test]
 fn a_version_gets_no_requests_before_its_order_and_a_read_report() {
     let mut process = started_process(0, None);
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures for direct dispatch.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Fixtures for tests of direct dispatch: entry processes, configurations, targets and requests.
+#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
 
 pub mod site;
 
@@ -18,24 +18,31 @@
     relay::{Era, Listing, Position, Topic},
 };
 
+/// Time for which a process accepts keys after its configuration was last confirmed.
 pub const FRESHNESS: Duration = Duration::from_secs(4);
+/// Time after which a peer without a new row or stamp counts as unable to take requests.
 pub const GONE: Duration = Duration::from_secs(6);
+/// Window of the tolerance by which accounts may exceed their limits.
 pub const WINDOW: Duration = Duration::from_secs(8);
 
-/// A process with its clock.
+/// An entry process with its clocks.
 pub struct Process {
+    /// State of the reducer.
     pub state: State,
+    /// Current virtual time of both clocks.
     pub now: Now,
-    /// Where it listens for the others.
+    /// Address at which the process listens for its peers.
     pub address: SocketAddr,
-    /// Era of the platform that it reads.
+    /// Era of the platform service that the process reads from.
     pub era: Era,
 }
 
+/// Returns the loopback address with a port.
 pub fn address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
+/// Returns the settings of the entry process with a number, which is also its port and incarnation.
 pub fn settings(number: u16) -> Settings {
     Settings {
         address: address(number),
@@ -49,7 +56,7 @@
     }
 }
 
-/// A process that knows nothing.
+/// Returns a process that has just started and has no configuration, targets or peers.
 pub fn blank(number: u16) -> Process {
     let now = Now { steady: Instant::now(), boot: Duration::from_secs(1_000) };
     let settings = settings(number);
@@ -57,29 +64,32 @@
     Process { state: direct::open(now.steady, settings), now, address, era: 1 }
 }
 
-/// A process that knows a plan and targets, and that its plan is current.
+/// Returns a process with a confirmed configuration and a list of targets.
 pub fn process(plan: Plan, targets: Vec<Target>) -> Process {
     let mut process = blank(1);
     process.send(Event::Planned(Arc::new(plan)));
     process.confirm();
     process.list(targets);
-    // The first read ends an outage, after which vanished targets are still used for a while.
+    // The first read counts as the end of an outage, after which targets that vanish from the list are used
+    // for 2.2 s more.
     process.pass(Duration::from_millis(2_500));
     process.confirm();
     process
 }
 
 impl Process {
+    /// Handles an event at the current time and returns its effects.
     pub fn send(&mut self, event: Event) -> Vec<Effect> {
         direct::reduce(&mut self.state, self.now, event)
     }
 
+    /// Confirms that the configuration which the process has is the newest one.
     pub fn confirm(&mut self) -> Vec<Effect> {
         let (boot, version) = (self.now.boot, self.state.known().plan);
         self.send(Event::Confirmed { boot, version, era: self.era })
     }
 
-    /// The platform lists other targets.
+    /// Replaces the list of targets, at the next position of the era.
     pub fn list(&mut self, targets: Vec<Target>) -> Vec<Effect> {
         let known = self.state.known().targets;
         let offset = if known.era < self.era { 0 } else { known.offset + 1 };
@@ -87,45 +97,48 @@
         self.send(Event::Listed(Listing { targets, position }))
     }
 
-    /// Hears what another process offers; gives what is to be fetched of it.
+    /// Receives the offer of a peer. Returns the topics to fetch from that peer, and all effects.
     pub fn hear_offer(&mut self, other: &Process) -> (Vec<Topic>, Vec<Effect>) {
         let offer = other.state.offer(other.now);
         let peer = other.address;
         let effects = self.send(Event::Offered { peer, offer });
-        let asked = fetches(&effects).into_iter().filter(|&(asked, _)| asked == peer);
-        let topics = asked.map(|(_, topic)| topic).collect();
+        let fetched = fetches(&effects).into_iter().filter(|&(from, _)| from == peer);
+        let topics = fetched.map(|(_, topic)| topic).collect();
         (topics, effects)
     }
 
-    /// Hears what another process offers and fetches it.
+    /// Receives the offer of a peer and fetches the topics that this process lacks.
     pub fn ask(&mut self, other: &Process) -> Vec<Effect> {
         let (topics, mut effects) = self.hear_offer(other);
         effects.extend(topics.into_iter().flat_map(|topic| self.fetch(other, topic)));
         effects
     }
 
-    /// Takes in what another process gives.
+    /// Receives the answer of a peer to a fetch of a topic.
     pub fn fetch(&mut self, other: &Process, topic: Topic) -> Vec<Effect> {
         let news = other.state.news(other.now, topic);
         self.send(Event::Fetched { peer: other.address, topic, news })
     }
 
-    /// Lets time pass by both clocks.
+    /// Advances both clocks by `time` and handles a tick.
     pub fn pass(&mut self, time: Duration) -> Vec<Effect> {
         self.now.steady += time;
         self.now.boot += time;
         self.send(Event::Tick)
     }
 
+    /// Handles the arrival of a request.
     pub fn arrive(&mut self, request: Request) -> Vec<Effect> {
         self.send(Event::Arrived(request))
     }
 
+    /// Ends the dispatch of a request, of whose answer nothing went to the caller.
     pub fn end(&mut self, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
         self.send(Event::Ended { ticket, outcome, begun: false, events: 0 })
     }
 }
 
+/// Returns a route to the pool `pool` for paths with a prefix, which is also the route's name.
 pub fn route(prefix: &str, repeat: Repeat) -> Route {
     Route {
         name: prefix.into(),
@@ -142,11 +155,13 @@
     }
 }
 
+/// Returns an account limit of `rate` units a second that allows a burst of one second's units. A request
+/// without token counts takes 200 units.
 pub fn limit(rate: f64) -> Limit {
     Limit { rate, burst: rate, plain: 200.0, tokens: true }
 }
 
-/// One account with the key `key`, and the given routes.
+/// Returns a configuration with the given routes and one account, whose key is `key`.
 pub fn plan(version: u64, routes: Vec<Route>, limit: Option<Limit>) -> Plan {
     let mut plan = Plan { version, body_max: 1 << 20, ..Plan::default() };
     routes.into_iter().for_each(|route| plan.insert(route));
@@ -155,6 +170,7 @@
     plan
 }
 
+/// Returns a ready target of the pool `pool` without an agent.
 pub fn target(number: u16) -> Target {
     Target {
         name: format!("target-{number}"),
@@ -169,10 +185,12 @@
     }
 }
 
+/// Returns targets with the numbers from 0 to `count - 1`.
 pub fn targets(count: u16) -> Vec<Target> {
     (0..count).map(target).collect()
 }
 
+/// Returns a request with the key `key` for 100 prompt tokens and an answer of at most 10.
 pub fn request(ticket: Ticket, path: &str) -> Request {
     Request {
         ticket,
@@ -188,12 +206,14 @@
     }
 }
 
-/// One whose caller expects so many tokens, with a draw that is spread over requests.
+/// Returns a request for `/a/` whose caller expects an answer of `tokens` tokens, with a pseudo-random `draw`
+/// instead of the ticket.
 pub fn expecting(ticket: Ticket, tokens: u32) -> Request {
     let spread = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Request { expected: Some(tokens), draw: spread, ..request(ticket, "/a/") }
 }
 
+/// Returns the reservations among the effects.
 pub fn reservations(effects: &[Effect]) -> Vec<Reservation> {
     let reservations = effects.iter().filter_map(|effect| match effect {
         Effect::Reserve(reservation) => Some(reservation.clone()),
@@ -202,6 +222,7 @@
     reservations.collect()
 }
 
+/// Returns the dispatches among the effects.
 pub fn starts(effects: &[Effect]) -> Vec<Start> {
     let starts = effects.iter().filter_map(|effect| match effect {
         Effect::Start(start) => Some(start.clone()),
@@ -210,7 +231,7 @@
     starts.collect()
 }
 
-/// What is to be fetched of whom.
+/// Returns the fetches among the effects: the peer to ask, and the topic.
 pub fn fetches(effects: &[Effect]) -> Vec<(SocketAddr, Topic)> {
     let fetches = effects.iter().filter_map(|effect| match effect {
         Effect::Fetch { peer, topic } => Some((*peer, *topic)),
@@ -219,6 +240,7 @@
     fetches.collect()
 }
 
+/// Returns the refusals among the effects, with the tickets of their requests.
 pub fn refusals(effects: &[Effect]) -> Vec<(Ticket, Refusal)> {
     let refusals = effects.iter().filter_map(|effect| match effect {
         Effect::Refuse { ticket, refusal, .. } => Some((*ticket, *refusal)),
@@ -227,14 +249,14 @@
     refusals.collect()
 }
 
-/// The one refusal among the effects.
+/// Returns the refusal among the effects; panics unless there is exactly one.
 pub fn refusal(effects: &[Effect]) -> Refusal {
     let refusals = refusals(effects);
     assert_eq!(refusals.len(), 1, "{effects:?}");
     refusals[0].1
 }
 
-/// The one dispatch among the effects.
+/// Returns the dispatch among the effects; panics unless there is exactly one.
 pub fn start(effects: &[Effect]) -> Start {
     let starts = starts(effects);
     assert_eq!(starts.len(), 1, "{effects:?}");
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -1,4 +1,4 @@
-//! Entry processes, agents and targets in virtual time, with what fails on the way.
+//! Simulation of entry processes, agents and targets in virtual time, with injected faults.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,175 +21,214 @@
 
 use super::{Process, address, blank, plan, refusals, request, route, settings, starts, target};
 
-/// Time from a process to another, in ms.
-const WAY: u64 = 2;
-/// Period in which processes look at their timers, in ms.
-const TICK: u64 = 5;
-/// When targets begin to name their limits, and when they cease to, in ms.
+/// Time that a message takes from one process to another, in ms.
+const MESSAGE_DELAY_MS: u64 = 2;
+/// Period in which entry processes and agents handle their timers, in ms.
+const TICK_MS: u64 = 5;
+/// Virtual time from which on the limited targets state their rate limits in answers, in ms.
 pub const NAMED: u64 = 2_000;
+/// Virtual time from which on targets state no rate limits any more, in ms.
 pub const LIFTED: u64 = 16_000;
+/// Virtual time at which tests of limits and repeats end, in ms.
 pub const END: u64 = 24_000;
-/// Time after a limit was first named from which on it binds, in ms.
+/// Time after [`NAMED`] from which on a rate limit is checked, in ms.
 pub const STABLE: u64 = 3_000;
-/// Time after which a process that passed a limit on counts as told, in ms.
-const TOLD: u64 = 500;
-/// Time over which requests count, in ms.
+/// Time after which a process must observe a limit that it forwarded to a caller, in ms.
+const LIMIT_GRACE_MS: u64 = 500;
+/// Length of the window in which the requests that a target got are counted, in ms.
 pub const WINDOW: u64 = 4_000;
-/// Time that an agent takes to start again, in ms.
-const AWAY: u64 = 400;
+/// Time that killed agents take to restart, in ms.
+const AGENT_RESTART_MS: u64 = 400;
 
 /// A deployment and its load.
 #[derive(Clone, Copy)]
 pub struct Site {
+    /// Number of entry processes.
     pub entries: usize,
+    /// Number of targets of the pool that gets the requests.
     pub targets: u16,
+    /// Requests that a target runs at once.
     pub slots: u32,
-    /// Time of a request at a target, in ms.
+    /// Mean time of a request at a target, in ms; each request takes from half to one and a half of it.
+    /// Not used for answers that have a length.
     pub held: u64,
-    /// Requests a second at all entry processes.
+    /// Requests a second that arrive at all entry processes together.
     pub load: f64,
+    /// Which targets have an agent.
     pub agents: Agents,
 }
 
+/// Which targets have an agent.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Agents {
-    /// One beside each target.
+    /// Each target has one.
     Beside,
-    /// Beside targets of another pool only.
+    /// Only the targets of another pool, which gets no requests, have one.
     Others,
+    /// No target has one.
     Nowhere,
 }
 
-/// Targets that reject a part of what they get.
+/// Targets that reject a fraction of their requests.
 #[derive(Clone, Copy)]
 pub struct Shedding {
-    /// The first so many.
+    /// Number of targets that reject requests, counted from the first.
     pub targets: u16,
-    /// Part of the requests, from 0 to 1.
+    /// Fraction of the requests that they reject, from 0 to 1.
     pub share: f64,
 }
 
-/// Requests of one route, whose answers differ in length.
+/// Kind of requests with a route of its own, whose answers vary in length.
 #[derive(Clone, Copy)]
 pub struct Kind {
+    /// Path of the requests, and prefix of their route.
     pub path: &'static str,
-    /// Rank of its tier.
+    /// Rank of the route's tier.
     pub rank: u32,
-    /// Part of the requests, from 0 to 1.
+    /// Fraction of all requests that are of this kind, from 0 to 1.
     pub share: f64,
-    /// Time until the first event should come.
+    /// Target latency of the first event.
     pub aim: Duration,
-    /// Time until the whole answer must have come.
+    /// Time from arrival to the deadline of the whole answer.
     pub patience: Duration,
-    /// Tokens of the answer: half of them have more.
+    /// Median of the tokens of an answer.
     pub median: f64,
-    /// Factor between the median and the length that one of six is beyond.
+    /// Geometric standard deviation of the tokens: one answer in six is longer than `median * spread`.
     pub spread: f64,
 }
 
-/// Answers that differ in length, at targets of two speeds: each third is a fast one.
+/// Answers that vary in length, at targets of two speeds: each third target is fast.
 #[derive(Clone, Copy)]
 pub struct Lengths {
+    /// All kinds of requests; their shares add up to 1.
     pub kinds: &'static [Kind],
-    /// Times at a fast and at a slow target, in ms: to the first token, and for each one.
+    /// Time to the first token at a fast and at a slow target, in ms.
     pub first: [f64; 2],
+    /// Time for each token at a fast and at a slow target, in ms.
     pub token: [f64; 2],
 }
 
-/// A request whose answer has a length, and what became of it.
+/// A request whose answer has a length, and whether it was served.
 #[derive(Clone, Copy, Debug)]
 pub struct Sized {
-    /// Which of the kinds.
+    /// Index of the request's kind in [`Lengths::kinds`].
     pub kind: usize,
+    /// Tokens of the answer.
     pub tokens: f64,
-    /// When it must have been answered.
-    until: u64,
-    /// Whether it was answered whole and in time.
+    /// Deadline of the answer, in ms of virtual time.
+    deadline: u64,
+    /// Whether the whole answer came before the deadline.
     pub served: bool,
 }
 
-/// How much longer one of six answers is than its caller expects; as many are as much shorter.
-const SURPRISE: f64 = 1.6;
+/// Geometric standard deviation of the expected tokens: callers of one answer in six expect more than this
+/// many times its length, and as many expect less than that fraction of it.
+const EXPECTED_TOKENS_SPREAD: f64 = 1.6;
 
-/// What fails, from two seconds on.
+/// Fault that is injected. Kills begin one second after [`NAMED`].
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Fault {
+    /// Nothing fails.
     Nothing,
-    /// The agents are never reached.
+    /// No entry process ever reaches an agent.
     AgentsAway,
-    /// One process doesn't reach the agents, the others do.
+    /// The first entry process reaches no agent from [`NAMED`] on; the others do.
     AgentsAwayFromOne,
-    /// All agents are killed, each second.
+    /// All agents are killed, once a second.
     AgentsKilled,
-    /// One process after the other is killed, each second.
+    /// The entry processes are killed in turn, one each second.
     EntriesKilled,
-    /// All processes are killed, each three seconds.
+    /// All entry processes are killed together, once every three seconds.
     AllKilled,
 }
 
-/// A reservation of an entry process.
+/// A reservation: index of its entry process, ticket of its request, and its number for that request.
 type Key = (usize, Ticket, u32);
 
+/// Addresses of an agent and of its target.
+type AgentKey = (SocketAddr, SocketAddr);
+
+/// Message between an entry process and a target or agent, to be delivered at a later time. `incarnation` is
+/// that of the entry process: messages to one that was restarted since then are dropped.
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
-    Arrived { to: u16, from: usize, life: u32, ticket: Ticket, again: bool },
-    Answered { to: u16, from: usize, life: u32, ticket: Ticket },
+enum Message {
+    /// A request reaches a target; `is_repeat` if it was dispatched before.
+    Arrived { to: u16, from: usize, incarnation: u32, ticket: Ticket, is_repeat: bool },
+    /// The answer of a target reaches the entry process.
+    Answered { to: u16, from: usize, incarnation: u32, ticket: Ticket },
+    /// The grant of an agent reaches the entry process.
     Granted { key: Key, load: Load },
-    Away { key: Key, life: u32 },
-    Rejected { from: usize, life: u32, ticket: Ticket },
+    /// The entry process notices that an agent is unreachable.
+    AgentAway { key: Key, incarnation: u32 },
+    /// The rejection of a target reaches the entry process.
+    Rejected { from: usize, incarnation: u32, ticket: Ticket },
 }
 
-/// A request at a target, and whether its sender had passed a limit on before.
+/// Arrival of a request at a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
+    /// Virtual time of the arrival, in ms.
     pub at: u64,
+    /// Number of the target.
     pub to: u16,
+    /// Whether the entry process forwarded a rate limit of the target at least half a second before.
     pub told: bool,
     /// Whether the request was dispatched before.
     pub again: bool,
-    /// Whether it was rejected.
+    /// Whether the target rejected the request.
     pub rejected: bool,
 }
 
+/// State of a simulation, with what it counted.
 pub struct World {
     site: Site,
     fault: Fault,
-    /// By target, in requests a second.
+    /// Rate limits of targets by their number, in requests a second; other targets have none.
     limits: BTreeMap<u16, f64>,
     entries: Vec<Process>,
-    /// Starts of each process.
-    lives: Vec<u32>,
-    /// By where the agent and where its target listen.
-    queues: BTreeMap<(SocketAddr, SocketAddr), State>,
-    open: BTreeMap<Key, (SocketAddr, SocketAddr)>,
-    /// Those of them that wait.
+    /// Number of restarts of each entry process.
+    incarnations: Vec<u32>,
+    agents: BTreeMap<AgentKey, State>,
+    /// Reservations that weren't withdrawn, with their agent.
+    reservations: BTreeMap<Key, AgentKey>,
+    /// Reservations without a grant yet.
     waiting: BTreeSet<Key>,
-    due: BTreeMap<u64, Vec<Due>>,
-    /// When each process first passed a target's limit on.
-    told: BTreeMap<(usize, u16), u64>,
+    /// Messages in flight, by the time at which they are delivered, in ms.
+    in_flight: BTreeMap<u64, Vec<Message>>,
+    /// Time at which each entry process first forwarded a rate limit of each target, in ms.
+    limit_forwarded: BTreeMap<(usize, u16), u64>,
+    /// Arrivals of requests at targets, in order.
     pub arrivals: Vec<Arrival>,
-    asked: BTreeMap<Ticket, u64>,
-    /// When each request arrived at a process.
+    /// Arrival time of each request that wasn't dispatched or refused yet, in ms.
+    undispatched: BTreeMap<Ticket, u64>,
+    /// Times at which requests arrived at entry processes, in order, in ms.
     pub requests: Vec<u64>,
+    /// Targets that reject requests; `None` if no target does.
     pub shedding: Option<Shedding>,
+    /// Kinds of answers; `None` if answers have no length.
     lengths: Option<Lengths>,
     /// Requests whose answers have a length.
     pub sized: BTreeMap<Ticket, Sized>,
-    /// Requests that were answered.
+    /// Number of answers that reached their entry process.
     pub answered: usize,
-    /// Time from arrival to dispatch of each request that was dispatched, in ms.
+    /// Time from arrival to the first dispatch of each request that was dispatched, in ms.
     pub waits: Vec<u64>,
+    /// Number of requests that were refused without a dispatch.
     pub refused: usize,
+    /// Time from which on killed agents are reachable again, in ms.
     agents_back: u64,
     random: StdRng,
+    /// Current virtual time, in ms.
     pub at: u64,
-    tickets: Ticket,
+    /// Ticket of the newest request.
+    last_ticket: Ticket,
 }
 
+/// Returns the targets that the platform lists for a site.
 pub fn targets(site: Site) -> Vec<Target> {
-    let near = |n| (site.agents == Agents::Beside).then(|| address(2_000 + n));
+    let agent_address = |n| (site.agents == Agents::Beside).then(|| address(2_000 + n));
     let mut targets: Vec<Target> = (0..site.targets)
-        .map(|n| Target { slots: site.slots, agent: near(n), ..target(n) })
+        .map(|n| Target { slots: site.slots, agent: agent_address(n), ..target(n) })
         .collect();
     if site.agents == Agents::Others {
         targets.extend((500..503).map(|n| Target {
@@ -201,14 +240,21 @@
     targets
 }
 
-/// An entry process after so many restarts, which knows a configuration and the targets.
-pub fn entry(number: usize, life: u32, site: Site, now: Now) -> Process {
-    planned(number, life, site, now, vec![route("/call/", Repeat::Never)])
+/// Returns an entry process after `incarnation` restarts that has read a configuration and the targets.
+pub fn entry(number: usize, incarnation: u32, site: Site, now: Now) -> Process {
+    entry_with_routes(number, incarnation, site, now, vec![route("/call/", Repeat::Never)])
 }
 
-fn planned(number: usize, life: u32, site: Site, now: Now, routes: Vec<Route>) -> Process {
+/// Returns an entry process as [`entry`] does, with the given routes in its configuration.
+fn entry_with_routes(
+    number: usize,
+    incarnation: u32,
+    site: Site,
+    now: Now,
+    routes: Vec<Route>,
+) -> Process {
     let mut settings = settings(number as u16 + 1);
-    settings.incarnation = u64::from(life) + 1;
+    settings.incarnation = u64::from(incarnation) + 1;
     let state = direct::open(now.steady, settings);
     let mut entry = Process { state, now, ..blank(number as u16 + 1) };
     entry.send(Event::Planned(plan(1, routes, None).into()));
@@ -217,6 +263,7 @@
     entry
 }
 
+/// Returns a simulation at time 0; `limits` are the rate limits of targets in requests a second, by target.
 pub fn world(site: Site, fault: Fault, limits: &[(u16, f64)]) -> World {
     let now = blank(1).now;
     let entries = (0..site.entries).map(|number| entry(number, 0, site, now)).collect();
@@ -224,15 +271,15 @@
         site,
         fault,
         limits: limits.iter().copied().collect(),
-        lives: vec![0; site.entries],
+        incarnations: vec![0; site.entries],
         entries,
-        queues: BTreeMap::new(),
-        open: BTreeMap::new(),
+        agents: BTreeMap::new(),
+        reservations: BTreeMap::new(),
         waiting: BTreeSet::new(),
-        due: BTreeMap::new(),
-        told: BTreeMap::new(),
+        in_flight: BTreeMap::new(),
+        limit_forwarded: BTreeMap::new(),
         arrivals: Vec::new(),
-        asked: BTreeMap::new(),
+        undispatched: BTreeMap::new(),
         requests: Vec::new(),
         shedding: None,
         lengths: None,
@@ -243,11 +290,11 @@
         agents_back: 0,
         random: StdRng::seed_from_u64(7),
         at: 0,
-        tickets: 0,
+        last_ticket: 0,
     }
 }
 
-/// One whose answers differ in length.
+/// Returns a simulation without faults and limits whose answers vary in length.
 pub fn world_of(site: Site, lengths: Lengths, seed: u64) -> World {
     let mut world = world(site, Fault::Nothing, &[]);
     let now = world.entries[0].now;
@@ -258,31 +305,36 @@
         ..route(kind.path, Repeat::Resume)
     });
     let routes: Vec<_> = routes.collect();
-    let entries = (0..site.entries).map(|number| planned(number, 0, site, now, routes.clone()));
+    let entries =
+        (0..site.entries).map(|number| entry_with_routes(number, 0, site, now, routes.clone()));
     world.entries = entries.collect();
     world.lengths = Some(lengths);
     world.random = StdRng::seed_from_u64(seed);
     world
 }
 
-/// About as the normal distribution gives, of variance 1.
+/// Draws from approximately the standard normal distribution: a sum of uniform draws of variance 1.
 fn normal(random: &mut StdRng) -> f64 {
     (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0
 }
 
+/// Whether a target is one of the fast third.
 fn is_fast(target: u16) -> bool {
     target.is_multiple_of(3)
 }
 
-fn id((index, ticket, attempt): Key) -> Id {
+/// Returns the id that an agent knows a reservation by.
+fn reservation_id((index, ticket, attempt): Key) -> Id {
     Id { request: Uuid::from_u64_pair(index as u64, ticket), attempt }
 }
 
-fn number(address: SocketAddr) -> u16 {
+/// Returns the number of the target that listens at an address.
+fn target_number(address: SocketAddr) -> u16 {
     address.port() - 1_000
 }
 
-fn queue() -> State {
+/// Returns the state of a new agent.
+fn agent_state() -> State {
     let room =
         Room { slots: 1, tokens: u64::MAX, waiting: 1_000, grant: Duration::from_millis(200) };
     agent::open_with(room, Policy { floor: 0.05, newest: true, ..Policy::first() })
@@ -294,6 +346,7 @@
         self.carry_out(index, effects);
     }
 
+    /// Carries out the effects of an entry process.
     fn carry_out(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in &effects {
             match effect {
@@ -303,17 +356,20 @@
             }
         }
         for (ticket, _) in refusals(&effects) {
-            self.refused += usize::from(self.asked.remove(&ticket).is_some());
+            self.refused += usize::from(self.undispatched.remove(&ticket).is_some());
         }
         for start in starts(&effects) {
-            let (from, life, ticket) = (index, self.lives[index], start.ticket);
-            let asked = self.asked.remove(&ticket);
-            self.waits.extend(asked.map(|asked| self.at - asked));
-            let again = asked.is_none();
-            self.after(WAY, Due::Arrived { to: number(start.address), from, life, ticket, again });
+            let (from, incarnation, ticket) = (index, self.incarnations[index], start.ticket);
+            let arrived = self.undispatched.remove(&ticket);
+            self.waits.extend(arrived.map(|arrived| self.at - arrived));
+            let is_repeat = arrived.is_none();
+            let to = target_number(start.address);
+            let message = Message::Arrived { to, from, incarnation, ticket, is_repeat };
+            self.schedule(MESSAGE_DELAY_MS, message);
         }
     }
 
+    /// Whether an entry process reaches the agents now.
     fn reaches_agents(&self, index: usize) -> bool {
         match self.fault {
             Fault::AgentsAway => false,
@@ -322,16 +378,18 @@
         }
     }
 
+    /// Makes a reservation of an entry process at an agent.
     fn reserve(&mut self, index: usize, reservation: &Reservation) {
         let Reservation { ticket, number, rank, slots, agent, address, .. } = *reservation;
         let key = (index, ticket, number);
         if !self.reaches_agents(index) {
-            return self.after(WAY, Due::Away { key, life: self.lives[index] });
+            let incarnation = self.incarnations[index];
+            return self.schedule(MESSAGE_DELAY_MS, Message::AgentAway { key, incarnation });
         }
-        self.open.insert(key, (agent, address));
+        self.reservations.insert(key, (agent, address));
         self.waiting.insert(key);
         let ask = Ask {
-            id: id(key),
+            id: reservation_id(key),
             rank,
             remaining: reservation.wait + reservation.boost,
             prefill: reservation.tokens.prompt,
@@ -340,25 +398,27 @@
             offset: 0,
             body: Default::default(),
         };
-        self.queues.entry((agent, address)).or_insert_with(queue);
-        self.feed((agent, address), agent::Event::Sized(slots as usize));
+        self.agents.entry((agent, address)).or_insert_with(agent_state);
+        self.send_to_agent((agent, address), agent::Event::Sized(slots as usize));
         if let Some(limit) = reservation.limit {
-            self.feed((agent, address), agent::Event::Limited(limit));
+            self.send_to_agent((agent, address), agent::Event::Limited(limit));
         }
-        self.feed((agent, address), agent::Event::Reserve(ask));
+        self.send_to_agent((agent, address), agent::Event::Reserve(ask));
     }
 
+    /// Cancels a reservation, or ends its request at the agent.
     fn withdraw(&mut self, key: Key) {
         self.waiting.remove(&key);
-        if let Some(queue) = self.open.remove(&key) {
-            self.feed(queue, agent::Event::Cancel(id(key)));
-            self.feed(queue, agent::Event::Ended(id(key)));
+        if let Some(agent) = self.reservations.remove(&key) {
+            self.send_to_agent(agent, agent::Event::Cancel(reservation_id(key)));
+            self.send_to_agent(agent, agent::Event::Ended(reservation_id(key)));
         }
     }
 
-    fn feed(&mut self, queue: (SocketAddr, SocketAddr), event: agent::Event) {
+    /// Sends an event to an agent and schedules the delivery of its grants; a killed agent gets none.
+    fn send_to_agent(&mut self, agent_key: AgentKey, event: agent::Event) {
         let now = self.entries[0].now.steady;
-        let Some(state) = self.queues.get_mut(&queue) else {
+        let Some(state) = self.agents.get_mut(&agent_key) else {
             return;
         };
         for effect in agent::reduce(state, now, event) {
@@ -367,105 +427,117 @@
             };
             let (index, ticket) = id.request.as_u64_pair();
             let key = (index as usize, ticket, id.attempt);
-            let load = self.queues[&queue].load();
-            self.after(WAY, Due::Granted { key, load });
+            let load = self.agents[&agent_key].load();
+            self.schedule(MESSAGE_DELAY_MS, Message::Granted { key, load });
         }
     }
 
-    /// A grant arrives; one whose reservation was withdrawn lapses.
-    fn granted(&mut self, key: Key, load: Load) {
+    /// Delivers a grant to its entry process, unless the reservation was withdrawn in the meantime.
+    fn deliver_grant(&mut self, key: Key, load: Load) {
         if !self.waiting.remove(&key) {
             return;
         }
         let (index, ticket, number) = key;
-        self.feed(self.open[&key], agent::Event::Start(id(key)));
+        self.send_to_agent(self.reservations[&key], agent::Event::Start(reservation_id(key)));
         self.send(index, Event::Granted { ticket, number, load });
     }
 
-    fn after(&mut self, time: u64, due: Due) {
-        self.due.entry(self.at + time).or_default().push(due);
+    /// Schedules the delivery of a message after a delay in ms.
+    fn schedule(&mut self, delay_ms: u64, message: Message) {
+        self.in_flight.entry(self.at + delay_ms).or_default().push(message);
     }
 
-    fn take(&mut self, due: Due) {
-        match due {
-            Due::Arrived { to, from, life, ticket, again } => {
-                let told = self.told.get(&(from, to)).is_some_and(|&at| at + TOLD <= self.at);
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Arrived { to, from, incarnation, ticket, is_repeat } => {
+                let forwarded = self.limit_forwarded.get(&(from, to));
+                let told = forwarded.is_some_and(|&at| at + LIMIT_GRACE_MS <= self.at);
                 let shed = self.shedding.filter(|shedding| to < shedding.targets);
                 let rejected = shed.is_some_and(|shed| self.random.random_bool(shed.share));
-                self.arrivals.push(Arrival { at: self.at, to, told, again, rejected });
+                self.arrivals.push(Arrival { at: self.at, to, told, again: is_repeat, rejected });
                 if rejected {
-                    return self.after(WAY, Due::Rejected { from, life, ticket });
+                    let message = Message::Rejected { from, incarnation, ticket };
+                    return self.schedule(MESSAGE_DELAY_MS, message);
                 }
-                let held = self.held(to, ticket);
-                self.after(held + WAY, Due::Answered { to, from, life, ticket });
+                let service_ms = self.service_time_ms(to, ticket);
+                let message = Message::Answered { to, from, incarnation, ticket };
+                self.schedule(service_ms + MESSAGE_DELAY_MS, message);
             }
-            Due::Answered { to, from, life, ticket } if self.lives[from] == life => {
-                let named = (NAMED..LIFTED).contains(&self.at);
-                if let Some(&per_second) = self.limits.get(&to).filter(|_| named) {
-                    self.told.entry((from, to)).or_insert(self.at);
+            Message::Answered { to, from, incarnation, ticket }
+                if self.incarnations[from] == incarnation =>
+            {
+                let states_limit = (NAMED..LIFTED).contains(&self.at);
+                if let Some(&per_second) = self.limits.get(&to).filter(|_| states_limit) {
+                    self.limit_forwarded.entry((from, to)).or_insert(self.at);
                     self.send(from, Event::Limited { ticket, per_second });
                 }
                 self.answered += 1;
                 self.send(from, Event::Began { ticket });
                 let sized = self.sized.get_mut(&ticket);
-                let expired = sized.as_ref().is_some_and(|sized| sized.until <= self.at);
-                sized.into_iter().for_each(|sized| sized.served = !expired);
-                let outcome = if expired { Outcome::Expired } else { Outcome::Done };
+                let is_expired = sized.as_ref().is_some_and(|sized| sized.deadline <= self.at);
+                sized.into_iter().for_each(|sized| sized.served = !is_expired);
+                let outcome = if is_expired { Outcome::Expired } else { Outcome::Done };
                 self.send(from, Event::Ended { ticket, outcome, begun: true, events: 0 });
             }
-            Due::Granted { key, load } => self.granted(key, load),
-            Due::Away { key: (index, ticket, number), life } if self.lives[index] == life => {
+            Message::Granted { key, load } => self.deliver_grant(key, load),
+            Message::AgentAway { key: (index, ticket, number), incarnation }
+                if self.incarnations[index] == incarnation =>
+            {
                 self.send(index, Event::Denied { ticket, number, lapse: Lapse::Away });
             }
-            Due::Rejected { from, life, ticket } if self.lives[from] == life => {
+            Message::Rejected { from, incarnation, ticket }
+                if self.incarnations[from] == incarnation =>
+            {
                 let outcome = Outcome::Rejected;
                 self.send(from, Event::Ended { ticket, outcome, begun: false, events: 0 });
             }
-            Due::Answered { .. } | Due::Away { .. } | Due::Rejected { .. } => {}
+            Message::Answered { .. } | Message::AgentAway { .. } | Message::Rejected { .. } => {}
         }
     }
 
-    /// Time for which a target has a request, in ms; it is taken from it at its deadline.
-    fn held(&mut self, to: u16, ticket: Ticket) -> u64 {
+    /// Returns the time that a target takes for a request, in ms. A request whose answer has a length ends at
+    /// its deadline at the latest.
+    fn service_time_ms(&mut self, to: u16, ticket: Ticket) -> u64 {
         let (Some(lengths), Some(sized)) = (self.lengths, self.sized.get(&ticket)) else {
             return self.site.held / 2 + self.random.random_range(0..self.site.held);
         };
         let speed = usize::from(!is_fast(to));
-        let needs = lengths.first[speed] + sized.tokens * lengths.token[speed];
-        (needs as u64).min(sized.until.saturating_sub(self.at))
+        let needed_ms = lengths.first[speed] + sized.tokens * lengths.token[speed];
+        (needed_ms as u64).min(sized.deadline.saturating_sub(self.at))
     }
 
+    /// Advances the simulation by one millisecond.
     pub fn pass(&mut self) {
         self.at += 1;
         for entry in &mut self.entries {
             entry.now.steady += Duration::from_millis(1);
             entry.now.boot += Duration::from_millis(1);
         }
-        for due in self.due.remove(&self.at).unwrap_or_default() {
-            self.take(due);
+        for message in self.in_flight.remove(&self.at).unwrap_or_default() {
+            self.deliver(message);
         }
-        let rows = period(self.site.entries - 1).as_millis() as u64;
+        let period_ms = period(self.site.entries - 1).as_millis() as u64;
         for index in 0..self.site.entries {
-            if self.at % rows == index as u64 * rows / self.site.entries as u64 {
-                self.tell(index);
+            if self.at % period_ms == index as u64 * period_ms / self.site.entries as u64 {
+                self.broadcast_row(index);
             }
-            if self.at % TICK == index as u64 % TICK {
+            if self.at % TICK_MS == index as u64 % TICK_MS {
                 self.send(index, Event::Tick);
             }
         }
-        if self.at.is_multiple_of(TICK) {
-            let queues: Vec<_> = self.queues.keys().copied().collect();
-            queues.into_iter().for_each(|queue| self.feed(queue, agent::Event::Tick));
+        if self.at.is_multiple_of(TICK_MS) {
+            let agents: Vec<_> = self.agents.keys().copied().collect();
+            agents.into_iter().for_each(|agent| self.send_to_agent(agent, agent::Event::Tick));
         }
         if self.at > NAMED && self.at.is_multiple_of(1_000) {
-            self.fail();
+            self.inject_fault();
         }
         if self.random.random_bool(self.site.load / 1_000.0) {
-            self.arrive();
+            self.generate_request();
         }
     }
 
-    /// Changes how much is asked, and of which kinds, from now on.
+    /// Changes the requests a second and their kinds from now on.
     pub fn ask(&mut self, load: f64, kinds: &'static [Kind]) {
         self.site.load = load;
         if let Some(lengths) = &mut self.lengths {
@@ -473,16 +545,17 @@
         }
     }
 
-    /// Lets time pass without requests until whatever came is over.
+    /// Runs the simulation without new requests until the deadlines of all requests have passed.
     pub fn finish(&mut self) {
         self.site.load = 0.0;
-        let last = self.sized.values().map(|sized| sized.until).max().unwrap_or_default();
-        while self.at <= last + WAY {
+        let last = self.sized.values().map(|sized| sized.deadline).max().unwrap_or_default();
+        while self.at <= last + MESSAGE_DELAY_MS {
             self.pass();
         }
     }
 
-    fn fail(&mut self) {
+    /// Injects the kills that are due; called once a second.
+    fn inject_fault(&mut self) {
         match self.fault {
             Fault::AgentsKilled => self.kill_agents(),
             Fault::AllKilled if self.at.is_multiple_of(3_000) => {
@@ -493,27 +566,31 @@
         }
     }
 
+    /// Kills all agents: their state is lost, and waiting reservations end.
     fn kill_agents(&mut self) {
-        self.agents_back = self.at + AWAY;
-        self.queues.clear();
-        self.open.clear();
+        self.agents_back = self.at + AGENT_RESTART_MS;
+        self.agents.clear();
+        self.reservations.clear();
         for key in std::mem::take(&mut self.waiting) {
-            self.after(WAY, Due::Away { key, life: self.lives[key.0] });
+            let incarnation = self.incarnations[key.0];
+            self.schedule(MESSAGE_DELAY_MS, Message::AgentAway { key, incarnation });
         }
     }
 
-    /// What an entry process has ends with it; a new one starts at once.
+    /// Kills an entry process, which loses its requests and reservations, and starts a new one at once.
     pub fn kill(&mut self, index: usize) {
-        let reserved: Vec<Key> = self.open.keys().filter(|key| key.0 == index).copied().collect();
+        let reserved: Vec<Key> =
+            self.reservations.keys().filter(|key| key.0 == index).copied().collect();
         reserved.into_iter().for_each(|key| self.withdraw(key));
-        self.lives[index] += 1;
+        self.incarnations[index] += 1;
         let now = self.entries[index].now;
-        self.entries[index] = entry(index, self.lives[index], self.site, now);
-        // A restart excuses a process until it passes a limit on again.
-        self.told.retain(|&(told, _), _| told != index);
+        self.entries[index] = entry(index, self.incarnations[index], self.site, now);
+        // A restarted process isn't expected to observe a limit until it has forwarded it again.
+        self.limit_forwarded.retain(|&(entry, _), _| entry != index);
     }
 
-    fn tell(&mut self, from: usize) {
+    /// Confirms the configuration to an entry process and sends its row to all others.
+    fn broadcast_row(&mut self, from: usize) {
         self.entries[from].confirm();
         let now = self.entries[from].now.steady;
         let row = self.entries[from].state.row(now);
@@ -522,62 +599,66 @@
         }
     }
 
-    fn arrive(&mut self) {
-        self.tickets += 1;
-        self.asked.insert(self.tickets, self.at);
+    /// Sends a new request to a random entry process.
+    fn generate_request(&mut self) {
+        self.last_ticket += 1;
+        self.undispatched.insert(self.last_ticket, self.at);
         self.requests.push(self.at);
-        let mut call = match self.lengths {
-            Some(lengths) => self.draw(lengths),
-            None => request(self.tickets, "/call/"),
+        let mut request = match self.lengths {
+            Some(lengths) => self.draw_sized_request(lengths),
+            None => request(self.last_ticket, "/call/"),
         };
-        call.draw = self.random.random();
+        request.draw = self.random.random();
         let index = self.random.random_range(0..self.site.entries);
-        self.send(index, Event::Arrived(call));
+        self.send(index, Event::Arrived(request));
     }
 
-    fn draw(&mut self, lengths: Lengths) -> Request {
+    /// Draws the kind, the tokens and the expected tokens of a request.
+    fn draw_sized_request(&mut self, lengths: Lengths) -> Request {
         let mut left = self.random.random::<f64>();
-        let kind = lengths.kinds.iter().position(|kind| {
+        let drawn = lengths.kinds.iter().position(|kind| {
             left -= kind.share;
             left < 0.0
         });
-        let number = kind.unwrap_or(lengths.kinds.len() - 1);
-        let kind = lengths.kinds[number];
+        let index = drawn.unwrap_or(lengths.kinds.len() - 1);
+        let kind = lengths.kinds[index];
         let tokens = (kind.median * kind.spread.powf(normal(&mut self.random))).max(1.0);
-        let expected = tokens * SURPRISE.powf(normal(&mut self.random));
-        let until = self.at + kind.patience.as_millis() as u64;
-        self.sized.insert(self.tickets, Sized { kind: number, tokens, until, served: false });
+        let expected = tokens * EXPECTED_TOKENS_SPREAD.powf(normal(&mut self.random));
+        let deadline = self.at + kind.patience.as_millis() as u64;
+        self.sized.insert(self.last_ticket, Sized { kind: index, tokens, deadline, served: false });
         let patience = Some(kind.patience);
         let expected = Some(expected.max(1.0) as u32);
-        Request { patience, expected, ..request(self.tickets, kind.path) }
+        Request { patience, expected, ..request(self.last_ticket, kind.path) }
     }
 
-    /// Part of a kind's requests that were served, of all or of those in a range of its lengths, as parts
-    /// from the shortest, 0, to the longest, 1.
+    /// Returns the fraction of a kind's requests that were served, among those whose answer length lies in a
+    /// range of quantiles: 0 is the shortest answer, 1 the longest.
     pub fn served(&self, kind: usize, range: Range<f64>) -> f64 {
         let mut sized: Vec<_> = self.sized.values().filter(|sized| sized.kind == kind).collect();
         sized.sort_by(|a, b| a.tokens.total_cmp(&b.tokens));
-        let place = |part: f64| (part * sized.len() as f64) as usize;
-        let sized = &sized[place(range.start)..place(range.end)];
+        let index = |quantile: f64| (quantile * sized.len() as f64) as usize;
+        let sized = &sized[index(range.start)..index(range.end)];
         sized.iter().filter(|sized| sized.served).count() as f64 / sized.len() as f64
     }
 
-    /// Most requests that a target got in a window while its limit binds, of those that count.
-    pub fn most(&self, to: u16, counts: impl Fn(&Arrival) -> bool) -> usize {
-        let binds = NAMED + STABLE..LIFTED;
-        let counted = self
-            .arrivals
-            .iter()
-            .filter(|arrival| arrival.to == to && binds.contains(&arrival.at) && counts(arrival));
+    /// Returns the largest number of requests that a target got in any [`WINDOW`] while its limit is checked,
+    /// among those for which `is_counted` returns true.
+    pub fn most(&self, to: u16, is_counted: impl Fn(&Arrival) -> bool) -> usize {
+        let checked = NAMED + STABLE..LIFTED;
+        let counted = self.arrivals.iter().filter(|arrival| {
+            arrival.to == to && checked.contains(&arrival.at) && is_counted(arrival)
+        });
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
         let within =
             |start: u64| times.iter().filter(|&&at| (start..start + WINDOW).contains(&at)).count();
         times.iter().map(|&start| within(start)).max().unwrap_or_default()
     }
 
-    /// Requests a second that a target got in a time.
+    /// Returns the requests a second that a target got in a range of virtual time in ms.
     pub fn rate(&self, to: u16, time: Range<u64>) -> f64 {
-        let got = self.arrivals.iter().filter(|got| got.to == to && time.contains(&got.at)).count();
-        got as f64 * 1_000.0 / (time.end - time.start) as f64
+        let arrivals = self.arrivals.iter();
+        let count =
+            arrivals.filter(|arrival| arrival.to == to && time.contains(&arrival.at)).count();
+        count as f64 * 1_000.0 / (time.end - time.start) as f64
     }
 }
