--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -6,11 +6,11 @@
 //!
 //! Each entry process limits the share of its own dispatches that go to the ordered version. The limit
 //! therefore holds for the sum over all processes, also while some of them can't reach each other. The
-//! processes exchange counts of good and bad answers in their rows; the counts only grow within an
-//! incarnation of a process. A process that judges the ordered version to be worse than the base rolls
-//! back at once, and so does each process that receives its row. A rollout completes only when the rows
-//! of all processes that may take requests are fresh and none of them has a request in flight at a
-//! target of a base version.
+//! processes exchange counts of good and bad answers in the rows that they send to their peers; the counts
+//! only grow within an incarnation of a process. A process that judges the ordered version to be worse than
+//! the base rolls back at once, and so does each process that receives its row. A rollout completes only
+//! when the rows of all processes that may take requests are fresh and none of them has a request in flight
+//! at a target of a base version.
 
 mod evidence;
 mod message;
@@ -44,7 +44,7 @@
 /// With so few, each is loaded as after the traffic shift, which exposes failures under load.
 const CANARY_TARGET_FRACTION: f64 = 0.05;
 
-/// The latest rollout of a pool, as this process knows it.
+/// State of a pool's latest rollout at this process.
 #[derive(Clone, Debug)]
 struct Rollout {
     order: Order,
@@ -354,7 +354,7 @@
     /// Decides whether a request that enters the queue goes to the ordered version, and counts it as
     /// pending there if so. `draw` is spread evenly from 0 to 1; `canary_limit` is the share of requests
     /// that a version may get before it is judged good. A process is isolated if the rows of most peers
-    /// are stale: since those may know of bad answers, it chooses no request.
+    /// are stale: since those may have got bad answers, it chooses no request.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -381,7 +381,8 @@
         is_chosen
     }
 
-    /// Uncounts a request that was chosen for the ordered version and no longer waits for it.
+    /// Removes a request from the pending ones of the ordered version, once it is dispatched, ends or goes to
+    /// the base version instead.
     pub fn release(&mut self, pool: &PoolName, route: &str) {
         let rollout = self.rollouts.get_mut(pool);
         if let Some(count) = rollout.and_then(|rollout| rollout.route_counts.get_mut(route)) {
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -28,7 +28,8 @@
 const WORSE_FACTOR: f64 = 1.5;
 /// Smallest fraction of bad answers that is assumed of the base version.
 const MIN_BAD_FRACTION: f64 = 0.01;
-/// Upper bound of the fraction of bad answers that is assumed of a worse version.
+/// Upper bound of the fraction of bad answers that is assumed of a worse version: above it, the answers of
+/// both versions can't be distinguished.
 const MAX_BAD_FRACTION: f64 = 0.9;
 /// Factor to the base version's mean time above which an answer is slow.
 const SLOW_FACTOR: f64 = 2.0;
@@ -100,9 +101,9 @@
 pub struct Evidence {
     own: BTreeMap<String, TallyPair>,
     baselines: BTreeMap<String, Baseline>,
-    /// Sums over all processes.
+    /// Tallies summed over all processes.
     totals: BTreeMap<String, TallyPair>,
-    /// Cumulative sums of the log-likelihood ratio that the ordered version is worse; never negative. The
+    /// Cumulative sums of the log-likelihood ratios of the ordered version's answers; never negative. The
     /// empty route name stands for all routes together.
     cusums: BTreeMap<String, f64>,
     /// Tallies of the ordered version that `cusums` already include.
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -323,7 +323,7 @@
     target.is_multiple_of(3)
 }
 
-/// Returns the id that an agent knows a reservation by.
+/// Returns the id of a reservation at its agent.
 fn reservation_id((index, ticket, attempt): Key) -> Id {
     Id { request: Uuid::from_u64_pair(index as u64, ticket), attempt }
 }
