--- a/components/scheduler/src/direct/rollout/message.rs
+++ b/components/scheduler/src/direct/rollout/message.rs
@@ -54,7 +54,7 @@
 pub struct Share {
     /// Order that the process follows.
     pub order: Order,
-    /// Time since the operator gave the order: the longest that the process or a row from a peer has measured.
+    /// Time since the operator gave the order: the longest that the process or a peer has measured.
     pub age: Duration,
     /// Progress as the process has decided or learnt it.
     pub progress: Progress,
