--- a/components/scheduler/src/entry/admit.rs
+++ b/components/scheduler/src/entry/admit.rs
@@ -1,4 +1,5 @@
-//! Checks of a request against the configuration, all findings together.
+//! Authentication of a request and its validation against the configuration. All findings of a
+//! request are reported together.
 
 use std::time::{Duration, Instant};
 
@@ -15,12 +16,13 @@
 };
 use crate::config;
 
-/// Longest deadline that a caller may ask for.
+/// Maximum deadline that a caller may ask for.
 pub const DEADLINE_LIMIT: Duration = Duration::from_secs(3_600);
-/// Longest idempotency key, in bytes.
-pub const KEY_LIMIT: usize = 255;
+/// Maximum length of an idempotency key in bytes.
+pub const MAX_KEY_BYTES: usize = 255;
 
-/// The account that sent a request.
+/// Returns the client account that the request's API key belongs to, or a refusal if there is
+/// none.
 pub fn authenticate<'a>(
     config: &'a config::State,
     request: &Request,
@@ -32,7 +34,7 @@
     })
 }
 
-/// Makes a pending request of one that has no fault.
+/// Validates a request and turns it into a pending one, or returns a refusal with all findings.
 pub fn admit(
     config: &config::State,
     now: Instant,
@@ -48,13 +50,19 @@
     findings.extend(pool.as_ref().err().cloned());
     match (tier, pool) {
         (Ok(tier), Ok(Some(pool))) if findings.is_empty() => {
-            Ok(pending(now, account, tier, pool, request))
+            Ok(new_pending(now, account, tier, pool, request))
         }
         _ => Err(Refusal::bad_input(findings)),
     }
 }
 
-fn pending(now: Instant, account: &Account, tier: &Tier, pool: &Pool, request: Request) -> Pending {
+fn new_pending(
+    now: Instant,
+    account: &Account,
+    tier: &Tier,
+    pool: &Pool,
+    request: Request,
+) -> Pending {
     Pending {
         owner: Owner { account: account.name.clone(), tier: tier.name.clone() },
         rank: tier.rank,
@@ -64,15 +72,17 @@
         stage: if request.key.is_some() { Stage::Claiming } else { Stage::Waiting },
         claim: Claim::None,
         attempts: 0,
-        open: Default::default(),
-        tried: Default::default(),
-        alone: false,
-        rounds: 0,
-        denial: None,
+        reservations: Default::default(),
+        tried_targets: Default::default(),
+        runs_alone: false,
+        retry_rounds: 0,
+        last_denial: None,
         request,
     }
 }
 
+/// Returns the pool that serves a call: `Ok(None)` if the call couldn't be read, for which the
+/// request already has a finding, or a finding if there is no such pool.
 fn find_pool<'a>(
     config: &'a config::State,
     call: Option<&Call>,
@@ -95,17 +105,20 @@
     if !deadline.is_zero() && deadline <= DEADLINE_LIMIT {
         return None;
     }
-    let rule = format!("must be between 1 and {} ms", DEADLINE_LIMIT.as_millis());
-    Some(Finding::new("header.x-wagtailhill-deadline-ms", rule))
+    let message = format!("must be between 1 and {} ms", DEADLINE_LIMIT.as_millis());
+    Some(Finding::new("header.x-wagtailhill-deadline-ms", message))
 }
 
+/// Returns a finding if the idempotency key has an invalid length, or is missing from a call that
+/// isn't idempotent. What the caller says about idempotence counts before the pool's default.
 fn check_key(request: &Request, pool: Option<&Pool>) -> Option<Finding> {
-    let place = "header.idempotency-key";
+    let header = "header.idempotency-key";
     if let Some(key) = &request.key {
-        let fits = !key.is_empty() && key.len() <= KEY_LIMIT;
-        return (!fits).then(|| Finding::new(place, format!("must have 1 to {KEY_LIMIT} bytes")));
+        let is_valid = !key.is_empty() && key.len() <= MAX_KEY_BYTES;
+        return (!is_valid)
+            .then(|| Finding::new(header, format!("must have 1 to {MAX_KEY_BYTES} bytes")));
     }
     let idempotent = request.idempotent.or(pool.map(|pool| pool.idempotent)).unwrap_or(true);
     let message = "a call that isn't idempotent needs an idempotency key";
-    (!idempotent).then(|| Finding::new(place, message))
+    (!idempotent).then(|| Finding::new(header, message))
 }
--- a/components/scheduler/src/entry/freshness.rs
+++ b/components/scheduler/src/entry/freshness.rs
@@ -1,4 +1,5 @@
-//! Whether the configuration here is fresh enough to decide on.
+//! Check whether the applied configuration is recent enough to decide requests by, and the requests
+//! that are held until it is.
 
 use std::{
     collections::VecDeque,
@@ -9,98 +10,103 @@
 
 use super::Request;
 
-/// Time between two events after which the process counts as having been frozen. Below the 7 s
-/// within which a change has to be in force everywhere.
+/// Time between two events above which the process is considered to have been frozen (paused or
+/// without CPU). Less than the 7 s within which a configuration change has to be in force in every
+/// process.
 pub const FREEZE: Duration = Duration::from_secs(4);
-/// Longest wait of a request for the configuration to be caught up with.
+/// Maximum time for which a request is held until the configuration is up to date.
 pub const CATCH_UP: Duration = Duration::from_secs(1);
 
-/// A request that waits until the configuration is fresh; nothing was decided about it yet.
+/// A request that is held until the configuration is up to date; it is neither admitted nor refused
+/// yet.
 #[derive(Clone, Debug)]
 struct Held {
+    /// When the request is refused if it is still held.
     until: Instant,
     request: Request,
 }
 
-/// What is known of the configuration beyond what is applied.
+/// Evidence that the applied configuration is up to date or not, and the requests that are held
+/// until it is. All offsets are those of the configuration stream.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
-    /// Highest offset that was heard of; never falls.
-    heard: Offset,
-    /// Time of the last event, once the configuration was confirmed for the first time.
-    last: Option<Instant>,
-    /// When the process was found to have been frozen; only an answer to a question that was
-    /// asked later ends the doubt.
-    doubted: Option<Instant>,
-    /// Requests that wait, in the order of their arrival and so of their times.
+    /// Highest offset that any process or the log has reported; it never decreases.
+    highest_known: Offset,
+    /// Time of the latest event; `None` until the first reply with a highest offset.
+    last_event: Option<Instant>,
+    /// When a freeze of the process was detected; `None` if the configuration has been confirmed
+    /// since. Only a reply to a query that was sent at this time or later counts as a confirmation.
+    frozen_at: Option<Instant>,
+    /// Held requests in the order of their arrival, which is also the order of `until`.
     held: VecDeque<Held>,
 }
 
 impl Freshness {
-    /// Notes the time of an event; tells whether the process was frozen before it.
-    pub fn pass(&mut self, now: Instant) -> bool {
-        let Some(last) = self.last else {
+    /// Records the time of an event and returns whether the process was frozen before it. Returns
+    /// `false` until the first reply with a highest offset.
+    pub fn record_event_time(&mut self, now: Instant) -> bool {
+        let Some(last_event) = self.last_event else {
             return false;
         };
-        self.last = Some(now);
-        let frozen = now.saturating_duration_since(last) > FREEZE;
-        if frozen {
-            self.doubted = Some(now);
+        self.last_event = Some(now);
+        let was_frozen = now.saturating_duration_since(last_event) > FREEZE;
+        if was_frozen {
+            self.frozen_at = Some(now);
         }
-        frozen
+        was_frozen
     }
 
-    /// Notes an offset that another process or the log told of.
-    pub fn hear(&mut self, offset: Offset) {
-        self.heard = self.heard.max(offset);
+    /// Records an offset that another process or the log has reported.
+    pub fn record_offset(&mut self, offset: Offset) {
+        self.highest_known = self.highest_known.max(offset);
     }
 
-    /// Takes the answer to a question for the highest offset.
+    /// Records a reply to a query for the highest offset, sent at `asked`.
     pub fn confirm(&mut self, now: Instant, asked: Instant, highest: Offset) {
-        self.hear(highest);
-        self.last = Some(now);
-        if self.doubted.is_some_and(|doubted| asked >= doubted) {
-            self.doubted = None;
+        self.record_offset(highest);
+        self.last_event = Some(now);
+        if self.frozen_at.is_some_and(|frozen_at| asked >= frozen_at) {
+            self.frozen_at = None;
         }
     }
 
-    /// Highest offset that was heard of.
-    pub fn heard(&self) -> Offset {
-        self.heard
+    /// Returns the highest offset that any process or the log has reported.
+    pub fn highest_known(&self) -> Offset {
+        self.highest_known
     }
 
-    /// Whether what is applied may be decided on.
+    /// Returns whether requests may be decided by the configuration as of the offset `applied`.
     pub fn is_fresh(&self, applied: Offset) -> bool {
-        self.doubted.is_none() && self.heard <= applied
+        self.frozen_at.is_none() && self.highest_known <= applied
     }
 
-    /// Keeps a request until the configuration is fresh.
+    /// Holds a request until the configuration is up to date, for at most [`CATCH_UP`].
     pub fn hold(&mut self, now: Instant, request: Request) {
         self.held.push_back(Held { until: now + CATCH_UP, request });
     }
 
-    /// Requests that are held.
-    pub fn waiting(&self) -> usize {
+    /// Returns the number of held requests.
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
-    /// Gives all held requests up to the reducer.
-    pub fn release(&mut self) -> Vec<Request> {
+    /// Removes and returns all held requests.
+    pub fn take_all(&mut self) -> Vec<Request> {
         self.held.drain(..).map(|held| held.request).collect()
     }
 
-    /// Gives up requests that have waited long enough.
-    pub fn lapse(&mut self, now: Instant) -> Vec<Request> {
-        let late = self.held.partition_point(|held| held.until <= now);
-        self.held.drain(..late).map(|held| held.request).collect()
+    /// Removes and returns the requests that have been held for [`CATCH_UP`].
+    pub fn take_expired(&mut self, now: Instant) -> Vec<Request> {
+        let expired = self.held.partition_point(|held| held.until <= now);
+        self.held.drain(..expired).map(|held| held.request).collect()
     }
 
-    /// Forgets a request whose caller went away.
-    pub fn forget(&mut self, id: RequestId) {
+    /// Removes a held request, if it is still held, because its caller disconnected.
+    pub fn remove(&mut self, id: RequestId) {
         self.held.retain(|held| held.request.id != id);
     }
 
-    /// When the first held request has to be given up.
+    /// Returns when the first held request has to be refused; `None` if none is held.
     pub fn next_wake(&self) -> Option<Instant> {
         self.held.front().map(|held| held.until)
     }
--- a/components/scheduler/src/entry/pending.rs
+++ b/components/scheduler/src/entry/pending.rs
@@ -1,4 +1,4 @@
-//! A request between its arrival and its end.
+//! The state of an admitted request, from its arrival to its end.
 
 use std::{collections::BTreeMap, time::Instant};
 
@@ -13,68 +13,75 @@
     event::{Owner, Request},
 };
 
-/// Where a request is.
+/// Progress of an admitted request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// Its key's home is being asked; it was dispatched nowhere.
+    /// The request claims its idempotency key at the key's home, the agent that keeps the key. It
+    /// has no reservation yet.
     Claiming,
-    /// It was dispatched nowhere.
+    /// The request hasn't started; it waits for a reservation to be granted.
     Waiting,
-    /// It was told to start under this reservation.
+    /// The request was told to start under this reservation.
     Started(Id),
 }
 
-/// A request that hasn't ended.
+/// An admitted request that hasn't ended.
 #[derive(Clone, Debug)]
 pub struct Pending {
-    /// As it arrived.
+    /// The request as it arrived.
     pub request: Request,
-    /// Whose it is.
+    /// Client account and tier of the request.
     pub owner: Owner,
-    /// Rank of its tier.
+    /// Rank of the request's tier; the lowest tier has the greatest rank.
     pub rank: Rank,
-    /// Pool that serves it.
+    /// Pool that serves the request.
     pub pool: PoolName,
     /// When the whole answer is due.
     pub deadline: Instant,
-    /// When a second target is asked; `None` once that is done.
+    /// When an additional reservation may be made; `None` once that time has been handled.
     pub widen_at: Option<Instant>,
-    /// Where it is.
+    /// Progress of the request.
     pub stage: Stage,
-    /// What is known of its idempotency key.
+    /// State of the claim on the request's idempotency key.
     pub claim: Claim,
-    /// Reservations made so far; the last attempt's number.
+    /// Number of reservations made so far, which is also the attempt number of the last one.
     pub attempts: u32,
-    /// Reservations that haven't ended, with their targets; only the started one once started.
-    pub open: BTreeMap<Id, TargetName>,
-    /// Targets that were asked, and when they last were or denied.
-    pub tried: BTreeMap<TargetName, Instant>,
-    /// Whether its body is suspected: it waits at one target at a time, and runs alone.
-    pub alone: bool,
-    /// Times that old denials were forgotten, to ask again.
-    pub rounds: u32,
-    /// Last denial, for the refusal's reason and time.
-    pub denial: Option<Denial>,
+    /// Open reservations and their targets. After the start, only the one that was started.
+    pub reservations: BTreeMap<Id, TargetName>,
+    /// Targets that were asked, each with the time of the last reservation or denial there. They
+    /// aren't asked again while they are listed.
+    pub tried_targets: BTreeMap<TargetName, Instant>,
+    /// Whether the request's body is suspected of crashing targets. Such a request waits at one
+    /// target at a time, and nothing else may run on the target together with it.
+    pub runs_alone: bool,
+    /// Number of rounds in which expired denials were dropped so that their targets could be asked
+    /// again.
+    pub retry_rounds: u32,
+    /// Denial that a refusal takes its reason and retry delay from; see [`Pending::record_denial`].
+    /// `None` before the first denial.
+    pub last_denial: Option<Denial>,
 }
 
 impl Pending {
-    /// Whether it was dispatched nowhere.
+    /// Returns whether the request waits for a reservation to be granted.
     pub fn is_waiting(&self) -> bool {
         self.stage == Stage::Waiting
     }
 
-    /// Takes in a denial. Want of room counts before hopelessness: one who found no room may not
-    /// be refused before a lower tier, whatever other targets say.
-    pub fn note(&mut self, denial: Option<Denial>) {
-        let lacked_room = self.denial.is_some_and(|known| known.reason == Reason::Overloaded);
-        let is_hopeless = denial.is_some_and(|denial| denial.reason == Reason::Deadline);
-        if !(lacked_room && is_hopeless) {
-            self.denial = denial.or(self.denial);
+    /// Records a denial for the refusal; `None` means that the agent was unreachable, and changes
+    /// nothing. A denial for lack of room isn't replaced by one for the deadline: a request that
+    /// found no room may not be refused before one of a lower tier, even if other targets can't
+    /// answer it in time.
+    pub fn record_denial(&mut self, denial: Option<Denial>) {
+        let lacked_room = self.last_denial.is_some_and(|known| known.reason == Reason::Overloaded);
+        let misses_deadline = denial.is_some_and(|denial| denial.reason == Reason::Deadline);
+        if !(lacked_room && misses_deadline) {
+            self.last_denial = denial.or(self.last_denial);
         }
     }
 
-    /// When this request needs a tick.
-    pub fn wake(&self) -> Option<Instant> {
+    /// Returns when the request's timer is due; `None` once the request was told to start.
+    pub fn next_wake(&self) -> Option<Instant> {
         match self.stage {
             Stage::Started(_) => None,
             Stage::Claiming => {
@@ -84,28 +91,28 @@
         }
     }
 
-    /// Place among waiting requests: the last is shed first.
-    pub fn order(&self) -> Order {
-        Order { rank: self.rank, deadline: self.deadline, request: self.request.id }
+    /// Returns the request's position in shedding order.
+    pub fn shed_order(&self) -> ShedOrder {
+        ShedOrder { rank: self.rank, deadline: self.deadline, request: self.request.id }
     }
 }
 
-/// Order of shedding: the greatest goes first.
+/// Shedding order of requests that haven't started: the greatest is shed first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Order {
-    /// Rank of the tier.
+pub struct ShedOrder {
+    /// Rank of the request's tier.
     pub rank: Rank,
-    /// When the answer is due.
+    /// When the whole answer is due.
     pub deadline: Instant,
-    /// Breaks ties.
+    /// The request; its id decides between equal ranks and deadlines.
     pub request: RequestId,
 }
 
-/// A time at which a request needs attention.
+/// A timer of a request that hasn't started.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Timer {
-    /// When.
+    /// When the timer is due.
     pub at: Instant,
-    /// Which request.
+    /// The request that the timer belongs to.
     pub request: RequestId,
 }
--- a/components/scheduler/src/entry/seek.rs
+++ b/components/scheduler/src/entry/seek.rs
@@ -1,4 +1,4 @@
-//! Which target a request is reserved at, and what becomes of it where none has room.
+//! Selection of the targets at which a request is reserved, in the order of rendezvous hashing.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,79 +13,96 @@
     suspect::Body,
 };
 
-use super::{DOWN_LIFE, Effect, RETRY, SHED_LIFE, Seen, Shed, State, pending::Pending};
+use super::{
+    DEFAULT_RETRY_AFTER, DOWN_BACKOFF, Effect, SHED_BACKOFF, ShedHint, State, TargetHints,
+    pending::Pending,
+};
 use crate::placement;
 
-/// What an entry weighs when it reserves.
+/// Limits on the reservations that an entry process makes for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Most reservations of one request that are open at once.
-    pub open: usize,
-    /// Targets that a prefix has at most: the first ones of its order that are up. A request asks
-    /// no other.
-    pub homes: usize,
-    /// Whether a further target is only asked where the first ones are silent.
-    pub only_silent: bool,
+    /// Maximum number of reservations that one request has open at once.
+    pub max_reservations: usize,
+    /// Maximum number of targets at which requests with the same prompt prefix are reserved: the
+    /// first ones in the prefix's placement order that aren't backed off.
+    pub targets_per_prefix: usize,
+    /// Whether a request that waits is reserved at an additional target only if one of those where
+    /// it waits hasn't replied to any request for the pool's patience.
+    pub widen_only_if_unresponsive: bool,
 }
 
-/// The targets of every pool, in order.
+/// Cached placement indices, one for each pool that has been used.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Pools {
-    /// Offset that the indices were made from.
+pub(super) struct PoolIndices {
+    /// Configuration offset from which the indices were built.
     offset: Offset,
     indices: BTreeMap<PoolName, placement::Index>,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
-        Policy { open: 2, homes: 3, only_silent: true }
+        Policy { max_reservations: 2, targets_per_prefix: 3, widen_only_if_unresponsive: true }
     }
 }
 
 impl Policy {
-    /// The policy of the first version: two reservations, every target asked.
+    /// Returns the policy of the first version, used as a baseline in comparisons: up to two open
+    /// reservations, any target of the pool, and an additional target whether or not the first
+    /// one replies.
     pub fn first() -> Policy {
-        Policy { open: 2, homes: usize::MAX, only_silent: false }
+        Policy {
+            max_reservations: 2,
+            targets_per_prefix: usize::MAX,
+            widen_only_if_unresponsive: false,
+        }
     }
 }
 
 impl State {
-    /// Asks the next target for room, or refuses where no target is left to ask.
-    pub(super) fn seek(&mut self, now: Instant, id: RequestId, effects: &mut Vec<Effect>) {
+    /// Requests a reservation at the next target. If none is left to ask and no reservation is
+    /// open, the request is refused or takes the place of one of a lower tier. A request whose
+    /// body is suspected of crashing targets waits at one target at a time.
+    pub(super) fn reserve_next(&mut self, now: Instant, id: RequestId, effects: &mut Vec<Effect>) {
         if self.is_quarantined(now, id) {
             return self.refuse_quarantined(id, None, effects);
         }
         let Some(pool) = self.requests.get(&id).map(|pending| pending.pool.clone()) else {
             return;
         };
-        self.index(&pool);
+        self.rebuild_stale_index(&pool);
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        if pending.alone && !pending.open.is_empty() {
+        if pending.runs_alone && !pending.reservations.is_empty() {
             return;
         }
-        match self.choose(now, pending).cloned() {
+        match self.choose_target(now, pending).cloned() {
             Some(target) => self.reserve(now, id, &target, effects),
-            None if pending.open.is_empty() => self.give_up(now, id, effects),
+            None if pending.reservations.is_empty() => {
+                self.refuse_for_lack_of_room(now, id, effects)
+            }
             None => {}
         }
     }
 
-    /// The best of the prefix's few homes that wasn't asked yet; one that sheds this tier comes
-    /// last, and only where nothing else is open. A target that is down is no home: the next of
-    /// the order takes its place.
-    pub(super) fn choose(&self, now: Instant, pending: &Pending) -> Option<&Target> {
-        let homes = self.homes(now, pending);
-        let untried = |target: &&&Target| !pending.tried.contains_key(&target.name);
-        let sheds = |target: &&&Target| self.sheds(now, &target.name, pending.rank);
-        let best = homes.iter().filter(untried).find(|target| !sheds(target));
-        let any = homes.iter().find(untried).filter(|_| pending.open.is_empty());
+    /// Returns the first preferred target that hasn't been asked yet. A target that sheds the
+    /// request's tier is returned only if no other is left and the request has no open
+    /// reservation. Returns `None` if there is no such target.
+    pub(super) fn choose_target(&self, now: Instant, pending: &Pending) -> Option<&Target> {
+        let preferred = self.preferred_targets(now, pending);
+        let untried = |target: &&&Target| !pending.tried_targets.contains_key(&target.name);
+        let sheds = |target: &&&Target| self.sheds_rank(now, &target.name, pending.rank);
+        let best = preferred.iter().filter(untried).find(|target| !sheds(target));
+        let any = preferred.iter().find(untried).filter(|_| pending.reservations.is_empty());
         best.or(any).copied()
     }
 
-    fn homes(&self, now: Instant, pending: &Pending) -> Vec<&Target> {
-        let Some(index) = self.pools.indices.get(&pending.pool) else {
+    /// Returns the first targets in the placement order of a request, up to the policy's limit. A
+    /// target that is backed off is replaced by the next one of the order, unless all of them
+    /// are backed off.
+    fn preferred_targets(&self, now: Instant, pending: &Pending) -> Vec<&Target> {
+        let Some(index) = self.pool_indices.indices.get(&pending.pool) else {
             return Vec::new();
         };
         let serving = || {
@@ -94,34 +111,44 @@
             targets.filter(|target| self.is_serving(target))
         };
         let up = serving().filter(|target| !self.is_down(now, &target.name));
-        let homes: Vec<&Target> = up.take(self.policy.homes).collect();
-        if homes.is_empty() {
-            return serving().take(self.policy.homes).collect();
+        let preferred: Vec<&Target> = up.take(self.policy.targets_per_prefix).collect();
+        if preferred.is_empty() {
+            return serving().take(self.policy.targets_per_prefix).collect();
         }
-        homes
+        preferred
     }
 
-    /// Reserves at one more target where those that were asked are silent: a target that answers
-    /// other requests meanwhile is only busy, and another would recompute the prefix.
-    pub(super) fn widen(&mut self, now: Instant, id: RequestId, effects: &mut Vec<Effect>) {
+    /// Reserves at one additional target for a request that has waited for the pool's patience.
+    /// With `widen_only_if_unresponsive`, it waits longer while all targets where it is reserved
+    /// reply to other requests: they are only busy, and another target would have to recompute
+    /// the prompt's prefix.
+    pub(super) fn reserve_additional(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        if pending.open.len() >= self.policy.open {
+        if pending.reservations.len() >= self.policy.max_reservations {
             return;
         }
-        let patience = self.config.pool(&pending.pool).map_or(RETRY, |pool| pool.patience);
-        let answers = |target: &TargetName| {
-            let heard = self.seen.get(target).and_then(|seen| seen.heard);
-            heard.is_some_and(|heard| heard + patience >= now)
+        let patience =
+            self.config.pool(&pending.pool).map_or(DEFAULT_RETRY_AFTER, |pool| pool.patience);
+        let is_responsive = |target: &TargetName| {
+            let last_reply = self.target_hints.get(target).and_then(|hints| hints.last_reply);
+            last_reply.is_some_and(|replied_at| replied_at + patience >= now)
         };
-        if self.policy.only_silent && pending.open.values().all(answers) {
-            return self.wait_on(id, now + patience);
+        if self.policy.widen_only_if_unresponsive
+            && pending.reservations.values().all(is_responsive)
+        {
+            return self.postpone_widening(id, now + patience);
         }
-        self.seek(now, id, effects);
+        self.reserve_next(now, id, effects);
     }
 
-    fn wait_on(&mut self, id: RequestId, until: Instant) {
+    fn postpone_widening(&mut self, id: RequestId, until: Instant) {
         self.unschedule(id);
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.widen_at = Some(until);
@@ -129,6 +156,7 @@
         self.schedule(id);
     }
 
+    /// Requests a reservation for a request at a target.
     pub(super) fn reserve(
         &mut self,
         now: Instant,
@@ -142,8 +170,8 @@
         };
         pending.attempts += 1;
         let reservation = Id { request: id, attempt: pending.attempts };
-        pending.open.insert(reservation, target.name.clone());
-        pending.tried.insert(target.name.clone(), now);
+        pending.reservations.insert(reservation, target.name.clone());
+        pending.tried_targets.insert(target.name.clone(), now);
         let ask = Ask {
             id: reservation,
             rank: pending.rank,
@@ -152,46 +180,54 @@
             decode: pending.request.decode,
             prefix: pending.request.prefix.clone(),
             offset,
-            body: Body { fingerprint: pending.request.fingerprint, alone: pending.alone },
+            body: Body { fingerprint: pending.request.fingerprint, alone: pending.runs_alone },
         };
         effects.push(Effect::Reserve { target: target.name.clone(), address: target.control, ask });
     }
 
-    /// Takes in what an agent's reply says of its load.
-    pub(super) fn hear(&mut self, now: Instant, id: Id, load: Load, effects: &mut Vec<Effect>) {
-        self.freshness.hear(load.offset);
+    /// Records what an agent's reply says about its load and the configuration offset it knows.
+    pub(super) fn record_load(
+        &mut self,
+        now: Instant,
+        id: Id,
+        load: Load,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.freshness.record_offset(load.offset);
         if load.offset > self.config.applied() {
             effects.push(Effect::CatchUp(load.offset));
         }
-        let Some(name) = self.target_of(id) else {
+        let Some(name) = self.reserved_target(id) else {
             return;
         };
-        let shed = load.floor.map(|rank| Shed { rank, until: now + SHED_LIFE });
-        self.seen.insert(name, Seen { shed, down_until: None, heard: Some(now) });
+        let shed = load.floor.map(|rank| ShedHint { rank, until: now + SHED_BACKOFF });
+        self.target_hints
+            .insert(name, TargetHints { shed, down_until: None, last_reply: Some(now) });
     }
 
+    /// Starts the backoff of the target of a reservation, whose agent is unreachable.
     pub(super) fn mark_down(&mut self, now: Instant, id: Id) {
-        if let Some(target) = self.target_of(id) {
-            self.seen.entry(target).or_default().down_until = Some(now + DOWN_LIFE);
+        if let Some(target) = self.reserved_target(id) {
+            self.target_hints.entry(target).or_default().down_until = Some(now + DOWN_BACKOFF);
         }
     }
 
-    fn target_of(&self, id: Id) -> Option<TargetName> {
-        self.requests.get(&id.request)?.open.get(&id).cloned()
+    fn reserved_target(&self, id: Id) -> Option<TargetName> {
+        self.requests.get(&id.request)?.reservations.get(&id).cloned()
     }
 
     fn is_down(&self, now: Instant, target: &str) -> bool {
-        let until = self.seen.get(target).and_then(|seen| seen.down_until);
+        let until = self.target_hints.get(target).and_then(|hints| hints.down_until);
         until.is_some_and(|until| until > now)
     }
 
-    fn sheds(&self, now: Instant, target: &str, rank: Rank) -> bool {
-        let shed = self.seen.get(target).and_then(|seen| seen.shed);
+    fn sheds_rank(&self, now: Instant, target: &str, rank: Rank) -> bool {
+        let shed = self.target_hints.get(target).and_then(|hints| hints.shed);
         shed.is_some_and(|shed| shed.rank <= rank && shed.until > now)
     }
 
-    /// Live hosts that no target stands on are taken to run entry processes.
-    pub(super) fn count_entries(&mut self, hosts: &[Host]) {
+    /// Estimates the number of entry processes as the number of live hosts that run no target.
+    pub(super) fn count_entry_hosts(&mut self, hosts: &[Host]) {
         let targets = self.config.list(Kind::Target).filter_map(|item| match &item.resource {
             Resource::Target(target) => Some(&target.host),
             _ => None,
@@ -200,27 +236,28 @@
         let is_entry =
             |host: &&Host| host.state == host::State::Live && !targets.contains(&host.name);
         let entries = hosts.iter().filter(is_entry).count();
-        self.entries = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
+        self.entry_hosts = u32::try_from(entries.max(1)).unwrap_or(u32::MAX);
     }
 
-    /// Makes a pool's index anew where the configuration has changed since.
-    fn index(&mut self, pool: &str) {
+    /// Builds a pool's placement index if there is none for the current configuration.
+    fn rebuild_stale_index(&mut self, pool: &str) {
         let offset = self.config.applied();
-        if self.pools.offset != offset {
-            self.pools.indices.clear();
-            self.pools.offset = offset;
+        if self.pool_indices.offset != offset {
+            self.pool_indices.indices.clear();
+            self.pool_indices.offset = offset;
         }
-        if !self.pools.indices.contains_key(pool) {
+        if !self.pool_indices.indices.contains_key(pool) {
             let index = placement::open(self.config.targets(pool));
-            self.pools.indices.insert(pool.to_owned(), index);
+            self.pool_indices.indices.insert(pool.to_owned(), index);
         }
     }
 }
 
-/// Requests that share their first blocks share this key; one without a prefix has its own.
-/// All copies of a suspected body find the same target first.
+/// Returns the key that determines the order of targets for a request. Requests whose prompts
+/// share their first `SHARED_BLOCKS` blocks share the key, and so do all requests with the same
+/// suspected body; a request without a prompt prefix has a key of its own.
 fn placement_key(pending: &Pending) -> BlockHash {
-    if pending.alone {
+    if pending.runs_alone {
         return u128::from_le_bytes(pending.request.fingerprint) as BlockHash;
     }
     const SHARED_BLOCKS: usize = 4;
--- a/components/scheduler/src/entry/suspects.rs
+++ b/components/scheduler/src/entry/suspects.rs
@@ -1,5 +1,5 @@
-//! Bodies that may crash a target: a suspected one waits at one target at a time and runs alone, a
-//! quarantined one is refused.
+//! Request bodies that may crash a target's engine. A request with a suspected body waits at one
+//! target at a time and runs alone there; one with a quarantined body is refused.
 
 use std::time::{Duration, Instant};
 
@@ -8,49 +8,59 @@
 use super::{Effect, Record, State};
 use crate::suspect::Standing;
 
-/// Time for which a body is suspected here after a start without an answer; by then the record of
-/// a crash, if it was one, has been read.
-const OWN_LIFE: Duration = Duration::from_secs(10);
+/// Time for which this process suspects a body whose request started and ended without a whole
+/// answer. If an engine crashed, the record of the crash has been read by the end of this time.
+const LOCAL_SUSPICION_TTL: Duration = Duration::from_secs(10);
 
 impl State {
-    /// Applies records of the stream of crashes, and changes what waits accordingly.
-    pub(super) fn heed(&mut self, now: Instant, records: Vec<Record>, effects: &mut Vec<Effect>) {
+    /// Applies records of the stream of crashes. Requests that haven't started are refused if their
+    /// bodies are now quarantined, and reserved again at one target if they are newly suspected.
+    pub(super) fn apply_crash_records(
+        &mut self,
+        now: Instant,
+        records: Vec<Record>,
+        effects: &mut Vec<Effect>,
+    ) {
         for record in records {
             self.suspects.apply(record.offset, &record.payload);
         }
         let waiting: Vec<RequestId> = self.waiting.iter().map(|order| order.request).collect();
         for id in waiting {
-            let was_alone = self.requests.get(&id).is_some_and(|pending| pending.alone);
+            let was_alone = self.requests.get(&id).is_some_and(|pending| pending.runs_alone);
             if self.is_quarantined(now, id) {
                 self.refuse_quarantined(id, None, effects);
-            } else if !was_alone && self.requests.get(&id).is_some_and(|pending| pending.alone) {
-                self.isolate(now, id, effects);
+            } else if !was_alone && self.requests.get(&id).is_some_and(|pending| pending.runs_alone)
+            {
+                self.isolate_request(now, id, effects);
             }
         }
     }
 
-    /// A start ended without an answer: its body is suspected here for a time.
-    pub(super) fn suspect(&mut self, now: Instant, id: RequestId) {
-        self.own_suspects.retain(|_, until| *until > now);
+    /// Suspects the body of a request that started and ended without a whole answer, for
+    /// `LOCAL_SUSPICION_TTL`.
+    pub(super) fn suspect_body(&mut self, now: Instant, id: RequestId) {
+        self.local_suspects.retain(|_, until| *until > now);
         if let Some(pending) = self.requests.get(&id) {
-            self.own_suspects.insert(pending.request.fingerprint, now + OWN_LIFE);
+            self.local_suspects.insert(pending.request.fingerprint, now + LOCAL_SUSPICION_TTL);
         }
     }
 
-    /// Whether a request's body is quarantined; marks it where it is suspected.
+    /// Returns whether a request's body is quarantined. If the body is suspected, also marks the
+    /// request to run alone.
     pub(super) fn is_quarantined(&mut self, now: Instant, id: RequestId) -> bool {
         let Some(pending) = self.requests.get_mut(&id) else {
             return false;
         };
         let body = pending.request.fingerprint;
         let standing = self.suspects.standing(body);
-        let own = self.own_suspects.get(&body).is_some_and(|until| *until > now);
-        pending.alone |= own || standing.is_some();
+        let is_locally_suspected = self.local_suspects.get(&body).is_some_and(|until| *until > now);
+        pending.runs_alone |= is_locally_suspected || standing.is_some();
         standing == Some(Standing::Quarantined)
     }
 
-    /// Refuses a request whose body crashed targets; without a time to come back where that is
-    /// on record, with one where only its agent says so yet.
+    /// Refuses a request whose body crashed targets. `wait` is the retry delay for the caller:
+    /// `None` if the quarantine is recorded in the stream of crashes, the delay from the denial if
+    /// only an agent has reported it so far.
     pub(super) fn refuse_quarantined(
         &mut self,
         id: RequestId,
@@ -63,14 +73,15 @@
         self.refuse(id, refusal, effects);
     }
 
-    /// Gives up reservations that were made before the body was suspected.
-    fn isolate(&mut self, now: Instant, id: RequestId, effects: &mut Vec<Effect>) {
+    /// Cancels the reservations that a request made before its body was suspected, and reserves at
+    /// one target.
+    fn isolate_request(&mut self, now: Instant, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        pending.tried.clear();
-        let open = std::mem::take(&mut pending.open);
-        self.cancel(open, effects);
-        self.seek(now, id, effects);
+        pending.tried_targets.clear();
+        let reservations = std::mem::take(&mut pending.reservations);
+        self.cancel_reservations(reservations, effects);
+        self.reserve_next(now, id, effects);
     }
 }
--- a/components/scheduler/tests/claiming.rs
+++ b/components/scheduler/tests/claiming.rs
@@ -16,7 +16,7 @@
 };
 use scheduler::{
     agent::Room,
-    entry::{self, ABSENCE, Effect, Event, Record, Request, State},
+    entry::{self, Effect, Event, HOST_ABSENCE_TIMEOUT, Record, Request, State},
 };
 use support::{epoch_clock, join, run};
 use test_case::test_case;
@@ -257,7 +257,7 @@
     let mut entry = with_a_host_gone();
 
     let early = entry.feed(Event::Hosts(vec![host(1), host(2)]));
-    entry.now += ABSENCE;
+    entry.now += HOST_ABSENCE_TIMEOUT;
     let reported = entry.feed(Event::Hosts(vec![host(1), host(2)]));
     let again = entry.feed(Event::Hosts(vec![host(1), host(2)]));
     let leave = lost(&reported).unwrap();
@@ -274,7 +274,7 @@
 #[test]
 fn a_member_whose_host_came_back_meanwhile_is_not_removed() {
     let mut entry = with_a_host_gone();
-    entry.now += ABSENCE;
+    entry.now += HOST_ABSENCE_TIMEOUT;
     let leave = lost(&entry.feed(Event::Hosts(vec![host(1), host(2)]))).unwrap();
 
     entry.feed(Event::Hosts(vec![host(0), host(1), host(2)]));
@@ -288,7 +288,7 @@
     let mut entry = with_a_host_gone();
     entry.feed(Event::Hosts(vec![host(2)]));
 
-    entry.now += ABSENCE;
+    entry.now += HOST_ABSENCE_TIMEOUT;
     let effects = entry.feed(Event::Hosts(vec![host(2)]));
 
     assert_eq!(lost(&effects), None);
--- a/components/scheduler/tests/tiers.rs
+++ b/components/scheduler/tests/tiers.rs
@@ -12,7 +12,7 @@
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 use scheduler::{
     agent::{self, Effect, Event, Room},
-    entry::{self, DENIAL_LIFE},
+    entry::{self, DENIAL_TTL},
 };
 use uuid::Uuid;
 use world::{ENTRIES, TARGETS, TIERS};
@@ -222,11 +222,11 @@
     let request = world.arrive(0, 0, Duration::from_secs(5));
     let deny = |world: &mut world::World, attempt| {
         let load = Load::default();
-        let denial = Denial { reason: Reason::Overloaded, retry_after: DENIAL_LIFE, load };
+        let denial = Denial { reason: Reason::Overloaded, retry_after: DENIAL_TTL, load };
         world.entry(0, entry::Event::Denied { id: Id { request, attempt }, denial });
     };
     deny(&mut world, 1);
-    world.advance(DENIAL_LIFE);
+    world.advance(DENIAL_TTL);
 
     deny(&mut world, 2);
     deny(&mut world, 3);
