--- a/components/scheduler/tests/claiming.rs
+++ b/components/scheduler/tests/claiming.rs
@@ -1,4 +1,5 @@
-//! The entry's reducer and the claims of its requests: what it asks, tells and says.
+//! Requests with an idempotency key in the entry's reducer: claims, reports of outcomes to the key's
+//! home, and refusals. Also the removal of members whose hosts have disappeared.
 
 mod support;
 mod world;
@@ -22,54 +23,61 @@
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(30);
-const RETRY: Duration = Duration::from_millis(50);
+/// Delay after which the entry sends a claim again that wasn't decided.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An entry that knows one member.
+/// An entry process and the current time.
 struct Entry {
     state: State,
     now: Instant,
 }
 
-fn open() -> Entry {
+/// Returns an entry that has read the configuration and the join of one member, `target-0`.
+fn open_entry() -> Entry {
     let grant = Duration::from_millis(200);
     let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, 8);
     let record = Record { offset: 1, payload: join(0, 1, epoch_clock()) };
     let mut entry = Entry { state: world.entries.remove(0), now: world.now };
-    entry.feed(Event::Members(vec![record]));
+    entry.handle(Event::Members(vec![record]));
     entry
 }
 
 impl Entry {
-    fn feed(&mut self, event: Event) -> Vec<Effect> {
+    fn handle(&mut self, event: Event) -> Vec<Effect> {
         entry::reduce(&mut self.state, self.now, event)
     }
 
-    fn arrive(&mut self, change: fn(&mut Request)) -> Vec<Effect> {
-        let mut request = world::request(id(), 0, DEADLINE);
+    /// Sends a request with an idempotency key, changed by `change`.
+    fn arrive_with(&mut self, change: fn(&mut Request)) -> Vec<Effect> {
+        let mut request = world::request(request_id(), 0, DEADLINE);
         request.key = Some("decision".to_owned());
         change(&mut request);
-        self.feed(Event::Arrived(request))
+        self.handle(Event::Arrived(request))
     }
 
-    fn claimed(&mut self, verdict: Option<Verdict>) -> Vec<Effect> {
-        self.feed(Event::Claimed { request: id(), verdict })
+    /// Delivers the home's answer to the request's claim; `None` means that there is none.
+    fn answer_claim(&mut self, verdict: Option<Verdict>) -> Vec<Effect> {
+        self.handle(Event::Claimed { request: request_id(), verdict })
     }
 
-    /// Grants the key and the first reservation.
+    /// Sends the request and grants its key and its first reservation, so that it starts.
     fn start(&mut self) {
-        self.arrive(|_| {});
-        self.claimed(Some(Verdict::Granted));
+        self.arrive_with(|_| {});
+        self.answer_claim(Some(Verdict::Granted));
         let grant = Grant { life: DEADLINE, load: Load::default() };
-        let effects = self.feed(Event::Granted { id: Id { request: id(), attempt: 1 }, grant });
+        let effects =
+            self.handle(Event::Granted { id: Id { request: request_id(), attempt: 1 }, grant });
         assert!(matches!(effects.as_slice(), [Effect::Start(_)]), "{effects:?}");
     }
 }
 
-fn id() -> RequestId {
+/// Returns the id of the only request that the tests send.
+fn request_id() -> RequestId {
     run(7)
 }
 
-fn refusal(effects: &[Effect]) -> Option<(Reason, Ran, bool)> {
+/// Returns the first refusal's reason, whether the request ran, and whether there is a retry delay.
+fn find_refusal(effects: &[Effect]) -> Option<(Reason, Ran, bool)> {
     effects.iter().find_map(|effect| match effect {
         Effect::Refuse { refusal, .. } => {
             Some((refusal.reason, refusal.ran, refusal.retry_after.is_some()))
@@ -78,192 +86,211 @@
     })
 }
 
-fn settled(effects: &[Effect]) -> Option<Settle> {
+/// Returns the first report of an outcome to a key's home.
+fn find_settle(effects: &[Effect]) -> Option<Settle> {
     effects.iter().find_map(|effect| match effect {
         Effect::Settle { settle, .. } => Some(*settle),
         _ => None,
     })
 }
 
-fn asks(effects: &[Effect]) -> usize {
+/// Returns how many claims the entry sends.
+fn count_claims(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Claim { .. })).count()
 }
 
+// A reservation before the grant of the key could let two attempts with the key run.
 #[test]
-fn a_keyed_request_is_reserved_nowhere_before_its_key_is_granted() {
-    let mut entry = open();
+fn a_request_with_a_key_is_not_reserved_before_its_key_is_granted() {
+    let mut entry = open_entry();
 
-    let arrived = entry.arrive(|_| {});
-    let granted = entry.claimed(Some(Verdict::Granted));
+    let arrived = entry.arrive_with(|_| {});
+    let granted = entry.answer_claim(Some(Verdict::Granted));
 
     assert!(matches!(arrived.as_slice(), [Effect::Claim { .. }]), "{arrived:?}");
     assert!(matches!(granted.as_slice(), [Effect::Reserve { .. }]), "{granted:?}");
 }
 
+// Retries can't help, or only after the advised delay, so the request must not wait here.
 #[test_case(Verdict::Held => (Reason::Duplicate, Ran::MayHaveRun, true); "held")]
 #[test_case(Verdict::Ran => (Reason::Duplicate, Ran::Yes, false); "ran")]
 #[test_case(Verdict::Expired => (Reason::Duplicate, Ran::MayHaveRun, false); "expired")]
 #[test_case(Verdict::Unsure => (Reason::Unclaimed, Ran::MayHaveRun, true); "unsure")]
 #[test_case(Verdict::Full => (Reason::Unclaimed, Ran::MayHaveRun, true); "full")]
 #[test_case(Verdict::Ahead => (Reason::BadInput, Ran::MayHaveRun, false); "ahead")]
-fn a_key_that_isnt_granted_is_refused_at_once(verdict: Verdict) -> (Reason, Ran, bool) {
-    let mut entry = open();
-    entry.arrive(|_| {});
+fn a_request_whose_claim_is_rejected_is_refused_at_once(verdict: Verdict) -> (Reason, Ran, bool) {
+    let mut entry = open_entry();
+    entry.arrive_with(|_| {});
 
-    let effects = entry.claimed(Some(verdict));
+    let effects = entry.answer_claim(Some(verdict));
 
     assert!(entry.state.is_empty());
-    assert_eq!(settled(&effects), None);
-    refusal(&effects).unwrap()
+    assert_eq!(find_settle(&effects), None);
+    find_refusal(&effects).unwrap()
 }
 
+// Members may change for long, so the number of attempts has to be limited.
 #[test_case(Some(Verdict::Behind { epoch: 0 }), 20; "an agent that is behind")]
-#[test_case(Some(Verdict::Moved { epoch: 2 }), 20; "another home")]
-#[test_case(Some(Verdict::Leaving), 20; "a home that leaves")]
+#[test_case(Some(Verdict::Moved { epoch: 2 }), 20; "an agent that is no longer the home")]
+#[test_case(Some(Verdict::Leaving), 20; "a home that is leaving")]
 #[test_case(None, 3; "a home that doesn't answer")]
-fn a_home_that_cant_decide_is_asked_again_a_bounded_number_of_times(
+fn an_undecided_claim_is_retried_a_limited_number_of_times(
     verdict: Option<Verdict>,
-    most: usize,
+    expected_claims: usize,
 ) {
-    let mut entry = open();
-    let mut asked = asks(&entry.arrive(|_| {}));
+    let mut entry = open_entry();
+    let mut claims = count_claims(&entry.arrive_with(|_| {}));
 
     let last = loop {
-        let effects = entry.claimed(verdict);
-        if refusal(&effects).is_some() {
+        let effects = entry.answer_claim(verdict);
+        if find_refusal(&effects).is_some() {
             break effects;
         }
-        entry.now += RETRY;
-        asked += asks(&entry.feed(Event::Tick));
+        entry.now += CLAIM_RETRY_DELAY;
+        claims += count_claims(&entry.handle(Event::Tick));
     };
 
-    assert_eq!(asked, most);
-    assert_eq!(refusal(&last), Some((Reason::Unclaimed, Ran::MayHaveRun, true)));
-    assert_eq!(settled(&last).map(|settle| settle.ran), Some(false));
+    assert_eq!(claims, expected_claims);
+    assert_eq!(find_refusal(&last), Some((Reason::Unclaimed, Ran::MayHaveRun, true)));
+    assert_eq!(find_settle(&last).map(|settle| settle.ran), Some(false));
 }
 
-#[test_case(|r| r.tier = Some("gold".to_owned()) => Ran::MayHaveRun; "faulty, with a key")]
-#[test_case(|r| r.key = Some(String::new()) => Ran::NotRun; "a key that no request can have")]
-#[test_case(|r| r.credential = None => Ran::NotRun; "of no account")]
-fn a_refusal_on_arrival_speaks_of_the_key(change: fn(&mut Request)) -> Ran {
-    let mut entry = open();
+// Without the key's grant, an earlier attempt may have run, unless no attempt can have this key.
+#[test_case(|r| r.tier = Some("gold".to_owned()) => Ran::MayHaveRun; "invalid, with a key")]
+#[test_case(|r| r.key = Some(String::new()) => Ran::NotRun; "an empty key, which is never valid")]
+#[test_case(|r| r.credential = None => Ran::NotRun; "without an account")]
+fn a_refusal_on_arrival_says_whether_an_attempt_with_the_key_may_have_run(
+    change: fn(&mut Request),
+) -> Ran {
+    let mut entry = open_entry();
 
-    let effects = entry.arrive(change);
+    let effects = entry.arrive_with(change);
 
-    refusal(&effects).unwrap().1
+    find_refusal(&effects).unwrap().1
 }
 
+// Another attempt may have run, and the claim may be granted later, so it has to be released.
 #[test]
-fn a_deadline_that_passes_while_the_home_is_asked_may_have_run() {
-    let mut entry = open();
-    entry.arrive(|_| {});
+fn a_request_that_expires_while_claiming_may_have_run_and_releases_its_key() {
+    let mut entry = open_entry();
+    entry.arrive_with(|_| {});
 
     entry.now += DEADLINE;
-    let effects = entry.feed(Event::Tick);
+    let effects = entry.handle(Event::Tick);
 
-    assert_eq!(refusal(&effects).map(|(_, ran, _)| ran), Some(Ran::MayHaveRun));
-    assert_eq!(settled(&effects).map(|settle| settle.ran), Some(false));
+    assert_eq!(find_refusal(&effects).map(|(_, ran, _)| ran), Some(Ran::MayHaveRun));
+    assert_eq!(find_settle(&effects).map(|settle| settle.ran), Some(false));
 }
 
+// A key that stayed held would block all later attempts, although nothing ran.
 #[test]
-fn a_request_that_ends_with_its_key_granted_and_unstarted_frees_it() {
-    let mut entry = open();
-    entry.arrive(|_| {});
-    entry.claimed(Some(Verdict::Granted));
+fn a_request_that_ends_before_its_start_releases_its_key() {
+    let mut entry = open_entry();
+    entry.arrive_with(|_| {});
+    entry.answer_claim(Some(Verdict::Granted));
 
-    let effects = entry.feed(Event::Ended { request: id() });
+    let effects = entry.handle(Event::Ended { request: request_id() });
 
-    assert_eq!(settled(&effects).map(|settle| settle.ran), Some(false));
+    assert_eq!(find_settle(&effects).map(|settle| settle.ran), Some(false));
 }
 
+// The request may have run, so another attempt with the key must not be granted.
 #[test]
-fn a_request_that_was_started_never_frees_its_key() {
-    let mut entry = open();
+fn a_request_that_was_started_never_releases_its_key() {
+    let mut entry = open_entry();
     entry.start();
 
-    let effects = entry.feed(Event::Ended { request: id() });
-    let late = entry.claimed(Some(Verdict::Granted));
+    let effects = entry.handle(Event::Ended { request: request_id() });
+    let late = entry.answer_claim(Some(Verdict::Granted));
 
-    assert_eq!((settled(&effects), settled(&late)), (None, None));
+    assert_eq!((find_settle(&effects), find_settle(&late)), (None, None));
 }
 
+// A duplicate grant of the key or of the reservation must not start the request again.
 #[test]
-fn an_answer_that_comes_after_the_start_changes_nothing() {
-    let mut entry = open();
+fn duplicate_grants_after_the_start_have_no_effect() {
+    let mut entry = open_entry();
     entry.start();
 
-    let late = entry.claimed(Some(Verdict::Granted));
+    let late = entry.answer_claim(Some(Verdict::Granted));
     let grant = Grant { life: DEADLINE, load: Load::default() };
-    let again = entry.feed(Event::Granted { id: Id { request: id(), attempt: 1 }, grant });
+    let again =
+        entry.handle(Event::Granted { id: Id { request: request_id(), attempt: 1 }, grant });
 
     assert_eq!((late, again), (Vec::new(), Vec::new()));
 }
 
+// A lost report would leave the key held, and callers without a proof that the request ran. The number
+// of attempts to report it is limited.
 #[test]
-fn a_request_whose_answer_began_tells_that_it_ran_until_its_home_knows() {
-    let mut entry = open();
+fn a_report_that_a_request_ran_is_retried_a_limited_number_of_times() {
+    let mut entry = open_entry();
     entry.start();
-    let effects = entry.feed(Event::Ran { request: id() });
-    let settle = settled(&effects).unwrap();
+    let effects = entry.handle(Event::Ran { request: request_id() });
+    let settle = find_settle(&effects).unwrap();
 
-    let again = entry.feed(Event::Unsettled { settle, tries: 1 });
-    let enough = entry.feed(Event::Unsettled { settle, tries: 5 });
+    let again = entry.handle(Event::Unsettled { settle, tries: 1 });
+    let after_last = entry.handle(Event::Unsettled { settle, tries: 5 });
 
     assert!(settle.ran);
-    assert_eq!((settled(&again), settled(&enough)), (Some(settle), None));
+    assert_eq!((find_settle(&again), find_settle(&after_last)), (Some(settle), None));
 }
 
+// With no agent in the membership there is no home that could hold the key.
 #[test]
-fn without_members_no_key_is_granted() {
+fn without_members_a_request_with_a_key_is_refused() {
     let grant = Duration::from_millis(200);
     let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, 8);
     let mut entry = Entry { state: world.entries.remove(0), now: world.now };
-    let mut effects = entry.arrive(|_| {});
+    let mut effects = entry.arrive_with(|_| {});
 
-    while refusal(&effects).is_none() {
-        entry.now += RETRY;
-        effects = entry.feed(Event::Tick);
+    while find_refusal(&effects).is_none() {
+        entry.now += CLAIM_RETRY_DELAY;
+        effects = entry.handle(Event::Tick);
     }
 
-    assert_eq!(refusal(&effects), Some((Reason::Unclaimed, Ran::MayHaveRun, true)));
+    assert_eq!(find_refusal(&effects), Some((Reason::Unclaimed, Ran::MayHaveRun, true)));
 }
 
 fn host(index: usize) -> Host {
     Host { name: support::target(index), zone: "a".to_owned(), state: host::State::Live }
 }
 
-/// An entry with three members, whose list lacks the first one's host from now on.
-fn with_a_host_gone() -> Entry {
-    let mut entry = open();
+/// Returns an entry with three members, for which the host of `target-0` has just disappeared from the
+/// platform's list.
+fn open_with_missing_host() -> Entry {
+    let mut entry = open_entry();
     let record = |index: usize| Record {
         offset: index as u64 + 1,
         payload: join(index, index as u128 + 1, epoch_clock()),
     };
-    entry.feed(Event::Members(vec![record(1), record(2)]));
-    entry.feed(Event::Hosts(vec![host(0), host(1), host(2)]));
-    entry.feed(Event::Hosts(vec![host(1), host(2)]));
+    entry.handle(Event::Members(vec![record(1), record(2)]));
+    entry.handle(Event::Hosts(vec![host(0), host(1), host(2)]));
+    entry.handle(Event::Hosts(vec![host(1), host(2)]));
     entry
 }
 
-fn lost(effects: &[Effect]) -> Option<Leave> {
+/// Returns the first report of a lost member.
+fn find_lost(effects: &[Effect]) -> Option<Leave> {
     effects.iter().find_map(|effect| match effect {
         Effect::Lost(leave) => Some(leave.clone()),
         _ => None,
     })
 }
 
+// A host may be missing from one list by mistake, so the removal waits; then it's reported only once.
 #[test]
-fn a_member_whose_host_is_gone_for_long_is_removed_once_it_was_given_time() {
-    let mut entry = with_a_host_gone();
+fn a_member_is_removed_after_its_host_has_been_missing_for_the_timeout() {
+    let mut entry = open_with_missing_host();
 
-    let early = entry.feed(Event::Hosts(vec![host(1), host(2)]));
+    let too_early = entry.handle(Event::Hosts(vec![host(1), host(2)]));
     entry.now += HOST_ABSENCE_TIMEOUT;
-    let reported = entry.feed(Event::Hosts(vec![host(1), host(2)]));
-    let again = entry.feed(Event::Hosts(vec![host(1), host(2)]));
-    let leave = lost(&reported).unwrap();
-    let removed = entry.feed(Event::Remove(leave.clone()));
+    let reported = entry.handle(Event::Hosts(vec![host(1), host(2)]));
+    let again = entry.handle(Event::Hosts(vec![host(1), host(2)]));
+    let leave = find_lost(&reported).unwrap();
+    let removed = entry.handle(Event::Remove(leave.clone()));
 
-    assert_eq!((lost(&early), lost(&again)), (None, None));
+    assert_eq!((find_lost(&too_early), find_lost(&again)), (None, None));
     assert_eq!(
         (leave.target.as_str(), leave.incarnation, leave.ended),
         ("target-0", run(1), false)
@@ -271,25 +298,27 @@
     assert_eq!(removed, [Effect::Remove(leave)]);
 }
 
+// The host may be listed again during the random delay before the removal.
 #[test]
-fn a_member_whose_host_came_back_meanwhile_is_not_removed() {
-    let mut entry = with_a_host_gone();
+fn a_member_whose_host_is_listed_again_is_not_removed() {
+    let mut entry = open_with_missing_host();
     entry.now += HOST_ABSENCE_TIMEOUT;
-    let leave = lost(&entry.feed(Event::Hosts(vec![host(1), host(2)]))).unwrap();
+    let leave = find_lost(&entry.handle(Event::Hosts(vec![host(1), host(2)]))).unwrap();
 
-    entry.feed(Event::Hosts(vec![host(0), host(1), host(2)]));
-    let effects = entry.feed(Event::Remove(leave));
+    entry.handle(Event::Hosts(vec![host(0), host(1), host(2)]));
+    let effects = entry.handle(Event::Remove(leave));
 
     assert_eq!(effects, []);
 }
 
+// Such a list is more likely faulty than all those hosts are gone.
 #[test]
-fn a_list_that_lacks_most_hosts_removes_nobody() {
-    let mut entry = with_a_host_gone();
-    entry.feed(Event::Hosts(vec![host(2)]));
+fn a_list_without_most_hosts_removes_no_member() {
+    let mut entry = open_with_missing_host();
+    entry.handle(Event::Hosts(vec![host(2)]));
 
     entry.now += HOST_ABSENCE_TIMEOUT;
-    let effects = entry.feed(Event::Hosts(vec![host(2)]));
+    let effects = entry.handle(Event::Hosts(vec![host(2)]));
 
-    assert_eq!(lost(&effects), None);
+    assert_eq!(find_lost(&effects), None);
 }
--- a/components/scheduler/tests/dispatch.rs
+++ b/components/scheduler/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! Both reducers over a faulty network: each request reaches a target at most once, and one that
-//! was refused as `not_run` never ran.
+//! The reducers of entries and agents over a simulated faulty network. Each request reaches a target
+//! at most once, and one that was refused with `not_run` never reaches a target.
 
 mod world;
 
@@ -11,30 +11,48 @@
 use scheduler::agent::Room;
 use world::{ENTRIES, Packet, TARGETS, TIERS, World};
 
-const STEPS: usize = 160;
-const CASES: u32 = 2_000;
-const SEED: u64 = 4;
+/// Upper bound of the number of steps in a generated case, exclusive.
+const MAX_STEPS: usize = 160;
+/// Number of generated cases unless the environment variable `WAGTAILHILL_CASES` sets another one.
+const DEFAULT_CASES: u32 = 2_000;
+const RNG_SEED: u64 = 4;
 
+/// One step of a generated case. An `Index` selects among the packets in flight, the runs in progress
+/// or the requests sent; the step has no effect if there are none.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A caller sends a request.
     Arrive { entry: usize, rank: Rank, deadline: Duration },
+    /// The network delivers a packet.
     Deliver(Index),
-    Double(Index),
-    Lose(Index),
+    /// The network delivers a copy of a packet and keeps the packet.
+    Duplicate(Index),
+    /// The network loses a packet.
+    Drop(Index),
+    /// Time passes.
     Advance(Duration),
+    /// A target finishes a run.
     EndRun(Index),
-    GiveUp(Index),
-    FreezeEntry(usize),
-    CloseTarget(usize),
+    /// A caller disconnects.
+    Disconnect(Index),
+    /// An entry is paused, or resumes if it is paused.
+    ToggleEntryFreeze(usize),
+    /// A target stops accepting connections from its agent, or accepts them again.
+    ToggleTargetConnections(usize),
+    /// An agent restarts and loses its state.
     RestartAgent(usize),
+    /// An entry restarts and loses its state.
     RestartEntry(usize),
+    /// An agent starts to drain.
     DrainAgent(usize),
-    ShowLeaving { entry: usize, target: usize },
+    /// An entry receives a list of hosts on which one target's host is leaving.
+    ListAsLeaving { entry: usize, target: usize },
 }
 
-/// Any step may follow any other: the oracle needs no state of its own.
+/// Generator of steps. Any step may follow any other, so it has no state.
 struct Steps;
 
+/// The state machine test of a [`World`].
 struct Dispatch;
 
 impl ReferenceStateMachine for Steps {
@@ -53,18 +71,18 @@
                 Step::Arrive { entry, rank: rank.try_into().unwrap(), deadline }
             }),
             40 => any::<Index>().prop_map(Step::Deliver),
-            6 => any::<Index>().prop_map(Step::Double),
-            4 => any::<Index>().prop_map(Step::Lose),
+            6 => any::<Index>().prop_map(Step::Duplicate),
+            4 => any::<Index>().prop_map(Step::Drop),
             8 => millis(1..300_u64).prop_map(Step::Advance),
             6 => any::<Index>().prop_map(Step::EndRun),
-            1 => any::<Index>().prop_map(Step::GiveUp),
-            1 => (0..ENTRIES).prop_map(Step::FreezeEntry),
-            2 => (0..TARGETS).prop_map(Step::CloseTarget),
+            1 => any::<Index>().prop_map(Step::Disconnect),
+            1 => (0..ENTRIES).prop_map(Step::ToggleEntryFreeze),
+            2 => (0..TARGETS).prop_map(Step::ToggleTargetConnections),
             2 => (0..TARGETS).prop_map(Step::RestartAgent),
             1 => (0..ENTRIES).prop_map(Step::RestartEntry),
             1 => (0..TARGETS).prop_map(Step::DrainAgent),
             1 => (0..ENTRIES, 0..TARGETS)
-                .prop_map(|(entry, target)| Step::ShowLeaving { entry, target }),
+                .prop_map(|(entry, target)| Step::ListAsLeaving { entry, target }),
         ]
         .boxed()
     }
@@ -77,7 +95,7 @@
     type Reference = Steps;
 
     fn init_test((): &()) -> World {
-        open()
+        open_world()
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
@@ -86,23 +104,25 @@
             Step::Arrive { entry, rank, deadline } => {
                 world.arrive(entry, rank, deadline);
             }
-            Step::Deliver(at) if packets > 0 => world.deliver(at.index(packets)),
-            Step::Double(at) if packets > 0 => world.double(at.index(packets)),
-            Step::Lose(at) if packets > 0 => world.lose(at.index(packets)),
-            Step::Deliver(_) | Step::Double(_) | Step::Lose(_) => {}
+            Step::Deliver(index) if packets > 0 => world.deliver(index.index(packets)),
+            Step::Duplicate(index) if packets > 0 => world.double(index.index(packets)),
+            Step::Drop(index) if packets > 0 => world.lose(index.index(packets)),
+            Step::Deliver(_) | Step::Duplicate(_) | Step::Drop(_) => {}
             Step::Advance(time) => world.advance(time),
-            Step::EndRun(at) if world.running() > 0 => world.end_run(at.index(world.running())),
-            Step::GiveUp(at) if !world.ranks.is_empty() => {
-                let request = *world.ranks.keys().nth(at.index(world.ranks.len())).unwrap();
+            Step::EndRun(index) if world.running() > 0 => {
+                world.end_run(index.index(world.running()))
+            }
+            Step::Disconnect(index) if !world.ranks.is_empty() => {
+                let request = *world.ranks.keys().nth(index.index(world.ranks.len())).unwrap();
                 world.give_up(request);
             }
-            Step::EndRun(_) | Step::GiveUp(_) => {}
-            Step::FreezeEntry(entry) => world.freeze(entry),
-            Step::CloseTarget(target) => world.close(target),
+            Step::EndRun(_) | Step::Disconnect(_) => {}
+            Step::ToggleEntryFreeze(entry) => world.freeze(entry),
+            Step::ToggleTargetConnections(target) => world.close(target),
             Step::RestartAgent(target) => world.restart_agent(target),
             Step::RestartEntry(entry) => world.restart_entry(entry),
             Step::DrainAgent(target) => world.drain_agent(target),
-            Step::ShowLeaving { entry, target } => world.show_leaving(entry, &[target]),
+            Step::ListAsLeaving { entry, target } => world.show_leaving(entry, &[target]),
         }
         world
     }
@@ -112,67 +132,82 @@
             assert!(*times <= 1, "{request} reached a target {times} times");
             assert_ne!(world.refused.get(request), Some(&Ran::NotRun), "{request} ran");
         }
-        assert!(world.late_starts.is_empty(), "new work for a target that is leaving");
+        assert!(
+            world.late_starts.is_empty(),
+            "requests started at a target that the entry knew to be leaving"
+        );
         for request in &world.answered {
-            assert!(!world.refused.contains_key(request), "{request} has two ends");
+            assert!(
+                !world.refused.contains_key(request),
+                "{request} was both answered and refused"
+            );
         }
     }
 }
 
-fn open() -> World {
+fn open_world() -> World {
     let grant = Duration::from_millis(200);
     world::open(Room { slots: 2, tokens: 1_000, waiting: 3, grant }, 6)
 }
 
-fn place(world: &World, wanted: fn(&Packet) -> bool) -> usize {
-    world.network.iter().position(wanted).unwrap()
+fn find_packet(world: &World, matches: fn(&Packet) -> bool) -> usize {
+    world.network.iter().position(matches).unwrap()
 }
 
-fn deliver(world: &mut World, wanted: fn(&Packet) -> bool) {
-    world.deliver(place(world, wanted));
+fn deliver_first_matching(world: &mut World, matches: fn(&Packet) -> bool) {
+    world.deliver(find_packet(world, matches));
 }
 
+// A second start for one grant would run the request twice.
 #[test]
-fn a_doubled_grant_starts_once() {
-    let mut world = open();
+fn a_duplicate_grant_starts_the_request_once() {
+    let mut world = open_world();
     world.arrive(0, 0, Duration::from_secs(5));
-    deliver(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
 
-    world.double(place(&world, |packet| matches!(packet, Packet::Granted { .. })));
-    deliver(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
+    world.double(find_packet(&world, |packet| matches!(packet, Packet::Granted { .. })));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
 
     let starts = world.network.iter().filter(|packet| matches!(packet, Packet::Start { .. }));
     assert_eq!(starts.count(), 1);
 }
 
+// The network duplicates a reservation and delivers the copy after the run. The agent denies it, and
+// the entry must not reserve the finished request at another target.
 #[test]
-fn a_doubled_call_for_room_that_is_denied_after_the_run_asks_nowhere_else() {
-    let mut world = open();
+fn a_duplicate_reservation_denied_after_the_run_leads_to_no_other_reservation() {
+    let mut world = open_world();
     let request = world.arrive(0, 0, Duration::from_secs(5));
-    world.double(place(&world, |packet| matches!(packet, Packet::Reserve { .. })));
-    deliver(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
-    deliver(&mut world, |packet| matches!(packet, Packet::Start { .. }));
+    world.double(find_packet(&world, |packet| matches!(packet, Packet::Reserve { .. })));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Start { .. }));
     world.end_run(0);
 
-    deliver(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
-    deliver(&mut world, |packet| matches!(packet, Packet::Denied { .. }));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
+    deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Denied { .. }));
 
-    let asks = world.network.iter().filter(|packet| matches!(packet, Packet::Reserve { .. }));
-    assert_eq!((asks.count(), world.ran[&request]), (0, 1));
+    let reservations =
+        world.network.iter().filter(|packet| matches!(packet, Packet::Reserve { .. }));
+    assert_eq!((reservations.count(), world.ran[&request]), (0, 1));
 }
 
 fn cases() -> u32 {
-    std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
+    std::env::var("WAGTAILHILL_CASES")
+        .ok()
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(DEFAULT_CASES)
 }
 
 prop_state_machine! {
     #![proptest_config(ProptestConfig {
         cases: cases(),
-        rng_seed: RngSeed::Fixed(SEED),
+        rng_seed: RngSeed::Fixed(RNG_SEED),
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
 
+    // Losses, duplicates, restarts and freezes must not let a request run twice, or run after the
+    // caller was told that it didn't.
     #[test]
-    fn no_request_reaches_a_target_twice(sequential 1..STEPS => Dispatch);
+    fn no_request_reaches_a_target_twice(sequential 1..MAX_STEPS => Dispatch);
 }
--- a/components/scheduler/tests/freshness.rs
+++ b/components/scheduler/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! An entry doesn't decide on a configuration that it knows to be old.
+//! An entry doesn't admit or refuse requests by a configuration that it knows to be out of date.
 
 use std::time::{Duration, Instant};
 
@@ -37,8 +37,8 @@
     })
 }
 
-/// An entry that has read two records to the log's end.
-fn ready(now: Instant) -> State {
+/// Returns an entry that has applied the configuration, two records, up to the log's end.
+fn caught_up_state(now: Instant) -> State {
     let mut state = open(Settings { waiting: 2, zone: "a".to_owned() });
     let records =
         vec![record(1, Action::Put(tier()), 0), record(2, Action::Put(account("old key")), 0)];
@@ -48,7 +48,8 @@
     state
 }
 
-fn request(id: u128) -> Event {
+/// Returns the arrival of a request with the account's old key, for a model that no pool serves.
+fn arrival(id: u128) -> Event {
     Event::Arrived(Request {
         id: Uuid::from_u128(id),
         credential: Some(credential::hash("old key")),
@@ -65,11 +66,12 @@
     })
 }
 
-/// A new key for the account: the old one opens nothing any more.
-fn rotate() -> Event {
+/// Returns a record that replaces the account's API key, so that the old key becomes invalid.
+fn key_rotation() -> Event {
     Event::Records(vec![record(3, Action::Put(account("new key")), 2)])
 }
 
+/// Returns the reasons of all refusals among the effects.
 fn refusals(effects: &[Effect]) -> Vec<Reason> {
     let refusals = effects.iter().filter_map(|effect| match effect {
         Effect::Refuse { refusal, .. } => Some(refusal.reason),
@@ -78,46 +80,50 @@
     refusals.collect()
 }
 
-fn catches_up(effects: &[Effect]) -> bool {
+/// Returns whether the entry asks for the configuration stream to be read.
+fn has_catch_up(effects: &[Effect]) -> bool {
     effects.iter().any(|effect| matches!(effect, Effect::CatchUp(_)))
 }
 
+// The request's key was revoked by a record that the entry hasn't applied yet.
 #[test]
-fn who_heard_of_a_higher_offset_decides_only_after_catching_up() {
+fn an_entry_that_is_behind_decides_only_after_catching_up() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
 
-    let told = reduce(&mut state, now, Event::Confirmed { asked: now, highest: 3 });
-    let arrived = reduce(&mut state, now, request(1));
-    let caught_up = reduce(&mut state, now, rotate());
+    let confirmed = reduce(&mut state, now, Event::Confirmed { asked: now, highest: 3 });
+    let arrived = reduce(&mut state, now, arrival(1));
+    let caught_up = reduce(&mut state, now, key_rotation());
 
-    assert!(catches_up(&told));
+    assert!(has_catch_up(&confirmed));
     assert_eq!(refusals(&arrived), []);
     assert_eq!(refusals(&caught_up), [Reason::Unauthorized]);
     assert!(state.is_empty());
 }
 
+// An agent may have applied a later record than the entry. Its replies carry the offset.
 #[test]
-fn an_agents_reply_tells_of_a_higher_offset_too() {
+fn an_offset_in_an_agents_reply_shows_that_the_entry_is_behind() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
     let id = Id { request: Uuid::from_u128(9), attempt: 1 };
     let load = Load { offset: 3, ..Load::default() };
     let denial = Denial { reason: Reason::Overloaded, retry_after: Duration::ZERO, load };
 
     reduce(&mut state, now, Event::Denied { id, denial });
-    let arrived = reduce(&mut state, now, request(1));
+    let arrived = reduce(&mut state, now, arrival(1));
 
     assert_eq!(refusals(&arrived), []);
-    assert!(catches_up(&arrived));
+    assert!(has_catch_up(&arrived));
 }
 
+// If the log stays unavailable, a held request must not wait until its deadline.
 #[test]
-fn the_wait_is_bounded_and_ends_in_a_typed_refusal() {
+fn a_held_request_is_refused_as_not_ready_after_a_bounded_wait() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
     reduce(&mut state, now, Event::Confirmed { asked: now, highest: 3 });
-    reduce(&mut state, now, request(1));
+    reduce(&mut state, now, arrival(1));
 
     let wake = next_wake(&state).unwrap();
     let before = reduce(&mut state, wake - Duration::from_millis(1), Event::Tick);
@@ -128,24 +134,26 @@
     assert_eq!(refusals(&late), [Reason::NotReady]);
 }
 
+// Held requests must not use unbounded memory while the log is unavailable.
 #[test]
 fn no_more_requests_are_held_than_may_wait() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
     reduce(&mut state, now, Event::Confirmed { asked: now, highest: 3 });
 
     let held: Vec<Vec<Reason>> =
-        (1..=3).map(|id| refusals(&reduce(&mut state, now, request(id)))).collect();
+        (1..=3).map(|id| refusals(&reduce(&mut state, now, arrival(id)))).collect();
 
     assert_eq!(held, [vec![], vec![], vec![Reason::NotReady]]);
 }
 
+// A request that stayed held would later be admitted for a caller that no longer waits for it.
 #[test]
-fn a_held_request_whose_caller_went_away_is_forgotten() {
+fn a_held_request_is_removed_when_its_caller_disconnects() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
     reduce(&mut state, now, Event::Confirmed { asked: now, highest: 3 });
-    reduce(&mut state, now, request(1));
+    reduce(&mut state, now, arrival(1));
 
     reduce(&mut state, now, Event::Ended { request: Uuid::from_u128(1) });
 
@@ -153,41 +161,48 @@
     assert_eq!(next_wake(&state), None);
 }
 
+// While the process was frozen, a record that revokes the account's key may have been appended.
 #[test]
-fn a_process_that_was_frozen_asks_before_it_decides() {
+fn a_process_that_was_frozen_confirms_the_offset_before_it_decides() {
     let now = Instant::now();
-    let mut state = ready(now);
-    let woken = now + FREEZE + Duration::from_millis(1);
+    let mut state = caught_up_state(now);
+    let resumed = now + FREEZE + Duration::from_millis(1);
 
-    let arrived = reduce(&mut state, woken, request(1));
-    // The answer to a question from before the freeze says nothing of what happened in it.
-    let old = reduce(&mut state, woken, Event::Confirmed { asked: now, highest: 2 });
-    let asked = woken + Duration::from_millis(5);
-    let behind = reduce(&mut state, asked, Event::Confirmed { asked: woken, highest: 3 });
-    let caught_up = reduce(&mut state, asked, rotate());
+    let arrived = reduce(&mut state, resumed, arrival(1));
+    // A reply to a query from before the freeze doesn't cover records that were appended during it.
+    let old = reduce(&mut state, resumed, Event::Confirmed { asked: now, highest: 2 });
+    let asked = resumed + Duration::from_millis(5);
+    let behind = reduce(&mut state, asked, Event::Confirmed { asked: resumed, highest: 3 });
+    let caught_up = reduce(&mut state, asked, key_rotation());
 
-    assert!(catches_up(&arrived));
+    assert!(has_catch_up(&arrived));
     let before = [refusals(&arrived), refusals(&old), refusals(&behind)];
     assert_eq!(before, [vec![], vec![], vec![]]);
     assert_eq!(refusals(&caught_up), [Reason::Unauthorized]);
 }
 
+// A freeze without new records must not leave requests held.
 #[test]
-fn a_process_that_was_frozen_and_missed_nothing_goes_on() {
+fn a_process_that_was_frozen_and_missed_nothing_decides_once_confirmed() {
     let now = Instant::now();
-    let mut state = ready(now);
-    let woken = now + FREEZE + Duration::from_millis(1);
-    reduce(&mut state, woken, request(1));
+    let mut state = caught_up_state(now);
+    let resumed = now + FREEZE + Duration::from_millis(1);
+    reduce(&mut state, resumed, arrival(1));
 
-    let confirmed = reduce(&mut state, woken, Event::Confirmed { asked: woken, highest: 2 });
+    let confirmed = reduce(&mut state, resumed, Event::Confirmed { asked: resumed, highest: 2 });
 
-    assert_eq!(refusals(&confirmed), [Reason::BadInput], "decided: no pool has this model");
+    assert_eq!(
+        refusals(&confirmed),
+        [Reason::BadInput],
+        "the request should be decided, and refused because no pool serves its model"
+    );
 }
 
+// Applying a record after a gap would leave the configuration without the missing records.
 #[test]
 fn a_record_after_a_gap_is_reported_and_not_applied() {
     let now = Instant::now();
-    let mut state = ready(now);
+    let mut state = caught_up_state(now);
 
     let record = record(5, Action::Put(tier()), 1);
     let effects = reduce(&mut state, now, Event::Records(vec![record]));
--- a/components/scheduler/tests/refusals.rs
+++ b/components/scheduler/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Each refusal that the entry's reducer gives before a start: its reason, and nothing dispatched.
+//! Refusals by the entry's reducer before a request starts: each has the expected reason, and nothing
+//! is sent to a target.
 
 mod world;
 
@@ -21,21 +22,27 @@
 use world::{TARGETS, TIERS, World};
 
 const DEADLINE: Duration = Duration::from_secs(5);
+/// Offset at which the world's configuration has the client account.
 const ACCOUNT_VERSION: u64 = TIERS.len() as u64 + 1;
+/// Offset of the last record of the world's configuration: the tiers, an account, a pool and targets.
 const LAST_OFFSET: u64 = ACCOUNT_VERSION + 1 + TARGETS as u64;
 
-fn open(waiting: usize) -> World {
+/// Returns a world whose entries allow so many waiting requests, and whose targets run
+/// one request at a time.
+fn open_world(max_waiting: usize) -> World {
     let grant = Duration::from_millis(200);
-    world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, waiting)
+    world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, max_waiting)
 }
 
-fn arrive(world: &mut World, change: fn(&mut Request)) -> Vec<Effect> {
+/// Sends a request that differs from a valid one by `change`.
+fn arrive_changed(world: &mut World, change: fn(&mut Request)) -> Vec<Effect> {
     let mut request = world::request(Uuid::from_u128(1), 0, DEADLINE);
     change(&mut request);
     entry::reduce(&mut world.entries[0], world.now, Event::Arrived(request))
 }
 
-fn limit_to_one(world: &mut World) {
+/// Limits the account to one request at a time and sends that one.
+fn reach_account_limit(world: &mut World) {
     let account = Account {
         name: "viewer".to_owned(),
         key_hash: credential::hash("key"),
@@ -51,28 +58,33 @@
     world.arrive(0, 0, DEADLINE);
 }
 
-fn unprepared(_: &mut World) {}
+fn no_preparation(_: &mut World) {}
 
-fn unchanged(_: &mut Request) {}
+fn no_change(_: &mut Request) {}
 
-#[test_case(unprepared, |r| r.credential = None => Reason::Unauthorized; "no key")]
-#[test_case(unprepared, |r| r.tier = Some("gold".to_owned()) => Reason::BadInput; "unknown tier")]
-#[test_case(unprepared, |r| r.idempotent = Some(false) => Reason::BadInput; "not idempotent, without a key")]
-#[test_case(limit_to_one, unchanged => Reason::AccountLimit; "limit of the account")]
+// A request that is invalid or over its account's limit must not take room at a target.
+#[test_case(no_preparation, |r| r.credential = None => Reason::Unauthorized; "without an API key")]
+#[test_case(no_preparation, |r| r.tier = Some("gold".to_owned()) => Reason::BadInput; "unknown tier")]
+#[test_case(
+    no_preparation, |r| r.idempotent = Some(false) => Reason::BadInput;
+    "not idempotent and without an idempotency key"
+)]
+#[test_case(reach_account_limit, no_change => Reason::AccountLimit; "over the account limit")]
 fn a_request_refused_on_arrival_goes_nowhere(
     prepare: fn(&mut World),
     change: fn(&mut Request),
 ) -> Reason {
-    let mut world = open(8);
+    let mut world = open_world(8);
     prepare(&mut world);
 
-    let effects = arrive(&mut world, change);
+    let effects = arrive_changed(&mut world, change);
 
     let [Effect::Refuse { refusal, .. }] = effects.as_slice() else { panic!("{effects:?}") };
     assert_eq!(refusal.ran, Ran::NotRun);
     refusal.reason
 }
 
+// Without the configuration, the process can't tell which accounts and pools exist.
 #[test]
 fn a_process_without_configuration_takes_nothing() {
     let now = Instant::now();
@@ -85,9 +97,10 @@
     assert_eq!((refusal.reason, refusal.ran), (Reason::NotReady, Ran::NotRun));
 }
 
+// The request must not wait for its deadline when all agents of its pool are unreachable.
 #[test]
 fn a_request_that_no_agent_can_be_reached_for_is_refused_at_once() {
-    let mut world = open(8);
+    let mut world = open_world(8);
     let request = world.arrive(0, 0, DEADLINE);
 
     for attempt in 1..=3 {
@@ -98,9 +111,10 @@
     assert_eq!(world.sheds.len(), 1);
 }
 
+// The cancelled reservation must not keep its place in the agent's queue.
 #[test]
 fn a_full_entry_refuses_its_lowest_tier_and_cancels_what_waits_for_it() {
-    let mut world = open(1);
+    let mut world = open_world(1);
     let low = world.arrive(0, 2, DEADLINE);
 
     let high = world.arrive(0, 0, DEADLINE);
@@ -111,9 +125,10 @@
     assert!(world.network.iter().any(cancelled));
 }
 
+// The caller was already told that the request didn't run.
 #[test]
-fn a_late_grant_after_the_deadline_starts_nothing() {
-    let mut world = open(8);
+fn a_grant_that_arrives_after_the_deadline_starts_nothing() {
+    let mut world = open_world(8);
     let request = world.arrive(0, 0, DEADLINE);
     world.deliver_first();
     world.advance(DEADLINE);
--- a/components/scheduler/tests/tiers.rs
+++ b/components/scheduler/tests/tiers.rs
@@ -1,4 +1,5 @@
-//! A higher tier is never shed before a lower one.
+//! Order of tiers: no request is refused for lack of room while one of a lower tier keeps its place.
+//! Covers the agent's queue, compared with a simple reference implementation, and the entries.
 
 mod world;
 
@@ -17,15 +18,18 @@
 use uuid::Uuid;
 use world::{ENTRIES, TARGETS, TIERS};
 
-const CASES: u32 = 500;
+/// Number of generated cases unless the environment variable `WAGTAILHILL_CASES` sets another one.
+const DEFAULT_CASES: u32 = 500;
+/// Capacity of each target.
 const ROOM: Room = Room { slots: 2, tokens: 100, waiting: 4, grant: Duration::from_millis(50) };
 
-/// The naive version of the agent: it sorts everything at every step.
-struct Naive {
+/// Reference implementation of an agent's queue that sorts all reservations at every step.
+struct ReferenceAgent {
     waiting: Vec<Waiting>,
-    held: Vec<Held>,
+    held: Vec<HeldRoom>,
 }
 
+/// A reservation that waits for room.
 #[derive(Clone, Debug)]
 struct Waiting {
     rank: Rank,
@@ -34,40 +38,48 @@
     tokens: u64,
 }
 
+/// Room held by a reservation that was granted or started.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldRoom {
     serial: u128,
     tokens: u64,
-    /// When the grant lapses; `None` once it started.
-    until: Option<Instant>,
+    /// When the grant expires; `None` once the reservation has started.
+    expires_at: Option<Instant>,
 }
 
+/// One step of a generated case. An `Index` selects among the reservations that the step applies to;
+/// the step has no effect if there are none.
 #[derive(Clone, Debug)]
 enum Step {
-    Reserve { rank: Rank, remaining: u64, tokens: u32 },
+    /// A new reservation, with the milliseconds until its deadline.
+    Reserve { rank: Rank, remaining_ms: u64, tokens: u32 },
+    /// A granted reservation starts.
     Start(Index),
+    /// A started reservation ends.
     End(Index),
+    /// A waiting reservation is cancelled.
     Cancel(Index),
+    /// Time passes, in milliseconds.
     Advance(u64),
 }
 
-/// What the agent said of a reservation.
+/// A reply of the agent about a reservation, which is identified by its serial number.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Said {
+enum Reply {
     Granted(u128),
     Denied(u128, Reason),
 }
 
-impl Naive {
-    fn expire(&mut self, now: Instant, said: &mut Vec<Said>) {
-        self.held.retain(|held| held.until.is_none_or(|until| until > now));
+impl ReferenceAgent {
+    fn expire(&mut self, now: Instant, replies: &mut Vec<Reply>) {
+        self.held.retain(|held| held.expires_at.is_none_or(|expires_at| expires_at > now));
         for late in self.waiting.iter().filter(|waiting| waiting.deadline <= now) {
-            said.push(Said::Denied(late.serial, Reason::Deadline));
+            replies.push(Reply::Denied(late.serial, Reason::Deadline));
         }
         self.waiting.retain(|waiting| waiting.deadline > now);
     }
 
-    fn settle(&mut self, now: Instant, said: &mut Vec<Said>) {
+    fn settle(&mut self, now: Instant, replies: &mut Vec<Reply>) {
         self.waiting.sort_by_key(|waiting| (waiting.rank, waiting.deadline, waiting.serial));
         while let Some(best) = self.waiting.first().cloned() {
             let tokens: u64 = self.held.iter().map(|held| held.tokens).sum();
@@ -76,13 +88,13 @@
                 break;
             }
             self.waiting.remove(0);
-            said.push(Said::Granted(best.serial));
-            let until = Some(now + ROOM.grant);
-            self.held.push(Held { serial: best.serial, tokens: best.tokens, until });
+            replies.push(Reply::Granted(best.serial));
+            let expires_at = Some(now + ROOM.grant);
+            self.held.push(HeldRoom { serial: best.serial, tokens: best.tokens, expires_at });
         }
         while self.waiting.len() > ROOM.waiting {
-            let worst = self.waiting.pop().unwrap();
-            said.push(Said::Denied(worst.serial, Reason::Overloaded));
+            let last = self.waiting.pop().unwrap();
+            replies.push(Reply::Denied(last.serial, Reason::Overloaded));
         }
     }
 }
@@ -91,19 +103,21 @@
     Id { request: Uuid::from_u128(serial), attempt: 1 }
 }
 
-fn said(effects: &[Effect]) -> Vec<Said> {
-    let said = effects.iter().filter_map(|effect| match effect {
-        Effect::Grant { id, .. } => Some(Said::Granted(id.request.as_u128())),
-        Effect::Deny { id, denial } => Some(Said::Denied(id.request.as_u128(), denial.reason)),
+fn replies(effects: &[Effect]) -> Vec<Reply> {
+    let replies = effects.iter().filter_map(|effect| match effect {
+        Effect::Grant { id, .. } => Some(Reply::Granted(id.request.as_u128())),
+        Effect::Deny { id, denial } => Some(Reply::Denied(id.request.as_u128(), denial.reason)),
         _ => None,
     });
-    said.collect()
+    replies.collect()
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let reserve = (0..3_u8, 1..400_u64, 1..120_u32);
     prop_oneof![
-        8 => reserve.prop_map(|(rank, remaining, tokens)| Step::Reserve { rank, remaining, tokens }),
+        8 => reserve.prop_map(|(rank, remaining_ms, tokens)| {
+            Step::Reserve { rank, remaining_ms, tokens }
+        }),
         4 => any::<Index>().prop_map(Step::Start),
         3 => any::<Index>().prop_map(Step::End),
         1 => any::<Index>().prop_map(Step::Cancel),
@@ -111,43 +125,52 @@
     ]
 }
 
-fn pick(index: &Index, from: &[Held], started: bool) -> Option<u128> {
-    let from: Vec<&Held> = from.iter().filter(|held| held.until.is_none() == started).collect();
-    (!from.is_empty()).then(|| index.get(&from).serial)
+fn pick_held(index: &Index, held: &[HeldRoom], is_started: bool) -> Option<u128> {
+    let candidates: Vec<&HeldRoom> =
+        held.iter().filter(|held| held.expires_at.is_none() == is_started).collect();
+    (!candidates.is_empty()).then(|| index.get(&candidates).serial)
 }
 
 fn cases() -> u32 {
-    std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
+    std::env::var("WAGTAILHILL_CASES")
+        .ok()
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(DEFAULT_CASES)
 }
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(5);
     ProptestConfig { cases: cases(), rng_seed, failure_persistence: None, ..Default::default() }
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
+    // An error in the agent's incremental queue would grant or deny reservations out of order.
     #[test]
-    fn the_agent_does_as_one_that_sorts_everything(steps in prop::collection::vec(step(), 1..120)) {
+    fn the_agent_grants_and_denies_like_a_reference_that_sorts_all(
+        steps in prop::collection::vec(step(), 1..120),
+    ) {
         let mut now = Instant::now();
-        // The naive version sorts and counts; it has no estimates to cut hopeless work off by.
+        // The reference grants only free slots and has no estimates of run times, so the agent's
+        // policies for both are turned off.
         let policy = agent::Policy { ahead: false, cut_off: false, ..agent::Policy::default() };
         let mut state = agent::open_with(ROOM, policy);
-        let mut naive = Naive { waiting: Vec::new(), held: Vec::new() };
+        let mut reference = ReferenceAgent { waiting: Vec::new(), held: Vec::new() };
 
         for (step, serial) in steps.into_iter().zip(1_u128..) {
             if let Step::Advance(millis) = step {
                 now += Duration::from_millis(millis);
             }
             let mut expected = Vec::new();
-            naive.expire(now, &mut expected);
+            reference.expire(now, &mut expected);
             let event = match step {
                 Step::Advance(_) => Event::Tick,
-                Step::Reserve { rank, remaining, tokens } => {
-                    let remaining = Duration::from_millis(remaining);
+                Step::Reserve { rank, remaining_ms, tokens } => {
+                    let remaining = Duration::from_millis(remaining_ms);
                     let deadline = now + remaining;
-                    naive.waiting.push(Waiting { rank, deadline, serial, tokens: tokens.into() });
+                    let waiting = Waiting { rank, deadline, serial, tokens: tokens.into() };
+                    reference.waiting.push(waiting);
                     Event::Reserve(Ask {
                         id: id(serial),
                         rank,
@@ -158,38 +181,39 @@
                         offset: 0, body: Default::default(),
                     })
                 }
-                Step::Start(index) => match pick(&index, &naive.held, false) {
+                Step::Start(index) => match pick_held(&index, &reference.held, false) {
                     None => Event::Tick,
                     Some(serial) => {
-                        let held = naive.held.iter_mut().find(|held| held.serial == serial);
-                        held.unwrap().until = None;
+                        let held = reference.held.iter_mut().find(|held| held.serial == serial);
+                        held.unwrap().expires_at = None;
                         Event::Start(id(serial))
                     }
                 },
-                Step::End(index) => match pick(&index, &naive.held, true) {
+                Step::End(index) => match pick_held(&index, &reference.held, true) {
                     None => Event::Tick,
                     Some(serial) => {
-                        naive.held.retain(|held| held.serial != serial);
+                        reference.held.retain(|held| held.serial != serial);
                         Event::Ended(id(serial))
                     }
                 },
-                Step::Cancel(index) if !naive.waiting.is_empty() => {
-                    let serial = index.get(&naive.waiting).serial;
-                    naive.waiting.retain(|waiting| waiting.serial != serial);
+                Step::Cancel(index) if !reference.waiting.is_empty() => {
+                    let serial = index.get(&reference.waiting).serial;
+                    reference.waiting.retain(|waiting| waiting.serial != serial);
                     Event::Cancel(id(serial))
                 }
                 Step::Cancel(_) => Event::Tick,
             };
-            naive.settle(now, &mut expected);
+            reference.settle(now, &mut expected);
 
-            let mut got = said(&agent::reduce(&mut state, now, event));
+            let mut actual = replies(&agent::reduce(&mut state, now, event));
 
-            got.sort();
+            actual.sort();
             expected.sort();
-            prop_assert_eq!(got, expected);
+            prop_assert_eq!(actual, expected);
         }
     }
 
+    // A full entry must refuse the lowest tier that waits there first.
     #[test]
     fn no_entry_sheds_a_tier_while_a_lower_one_waits_there(
         steps in prop::collection::vec((0..12_u8, any::<Index>(), 1..60_u64), 1..300),
@@ -216,8 +240,10 @@
     }
 }
 
+// A target that denied a request may have room again after `DENIAL_TTL`, which a lower tier could
+// take. The request has to be denied there again before it is refused.
 #[test]
-fn a_refusal_rests_on_no_old_denial() {
+fn a_request_is_not_refused_on_expired_denials() {
     let mut world = world::open(ROOM, 64);
     let request = world.arrive(0, 0, Duration::from_secs(5));
     let deny = |world: &mut world::World, attempt| {
@@ -230,9 +256,9 @@
 
     deny(&mut world, 2);
     deny(&mut world, 3);
-    let refused_on_an_old_denial = world.refused.contains_key(&request);
+    let is_refused_on_expired_denial = world.refused.contains_key(&request);
     (4..=6).for_each(|attempt| deny(&mut world, attempt));
 
-    assert!(!refused_on_an_old_denial);
+    assert!(!is_refused_on_expired_denial);
     assert!(world.refused.contains_key(&request));
 }
