--- a/components/scheduler/src/entry/pending.rs
+++ b/components/scheduler/src/entry/pending.rs
@@ -16,8 +16,8 @@
 /// Progress of an admitted request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// The request claims its idempotency key at the key's home, the agent that keeps the key. It
-    /// has no reservation yet.
+    /// The request has no reservation yet and claims its idempotency key at the key's home, the
+    /// agent that keeps the key.
     Claiming,
     /// The request hasn't started; it waits for a reservation to be granted.
     Waiting,
--- a/components/scheduler/src/entry/seek.rs
+++ b/components/scheduler/src/entry/seek.rs
@@ -28,7 +28,7 @@
     /// first ones in the prefix's placement order that aren't backed off.
     pub targets_per_prefix: usize,
     /// Whether a request that waits is reserved at an additional target only if one of those where
-    /// it waits hasn't replied to any request for the pool's patience.
+    /// it waits hasn't replied to any request within the pool's `patience`.
     pub widen_only_if_unresponsive: bool,
 }
 
@@ -118,7 +118,7 @@
         preferred
     }
 
-    /// Reserves at one additional target for a request that has waited for the pool's patience.
+    /// Reserves at one additional target for a request that has waited for the pool's `patience`.
     /// With `widen_only_if_unresponsive`, it waits longer while all targets where it is reserved
     /// reply to other requests: they are only busy, and another target would have to recompute
     /// the prompt's prefix.
@@ -134,6 +134,7 @@
         if pending.reservations.len() >= self.policy.max_reservations {
             return;
         }
+        // The pool may have been deleted since the request arrived.
         let patience =
             self.config.pool(&pending.pool).map_or(DEFAULT_RETRY_AFTER, |pool| pool.patience);
         let is_responsive = |target: &TargetName| {
@@ -148,6 +149,7 @@
         self.reserve_next(now, id, effects);
     }
 
+    /// Sets the time at which an additional reservation is considered again.
     fn postpone_widening(&mut self, id: RequestId, until: Instant) {
         self.unschedule(id);
         if let Some(pending) = self.requests.get_mut(&id) {
@@ -216,11 +218,13 @@
         self.requests.get(&id.request)?.reservations.get(&id).cloned()
     }
 
+    /// Returns whether a target is backed off because its agent was unreachable or draining.
     fn is_down(&self, now: Instant, target: &str) -> bool {
         let until = self.target_hints.get(target).and_then(|hints| hints.down_until);
         until.is_some_and(|until| until > now)
     }
 
+    /// Returns whether a target shed requests of this rank or a higher tier recently.
     fn sheds_rank(&self, now: Instant, target: &str, rank: Rank) -> bool {
         let shed = self.target_hints.get(target).and_then(|hints| hints.shed);
         shed.is_some_and(|shed| shed.rank <= rank && shed.until > now)
--- a/components/scheduler/tests/refusals.rs
+++ b/components/scheduler/tests/refusals.rs
@@ -84,7 +84,7 @@
     refusal.reason
 }
 
-// Without the configuration, the process can't tell which accounts and pools exist.
+// Without the configuration, the process can neither authenticate callers nor find pools.
 #[test]
 fn a_process_without_configuration_takes_nothing() {
     let now = Instant::now();
