--- a/components/scheduler/tests/claiming.rs
+++ b/components/scheduler/tests/claiming.rs
@@ -111,7 +111,7 @@
     assert!(matches!(granted.as_slice(), [Effect::Reserve { .. }]), "{granted:?}");
 }
 
-// Retries can't help, or only after the advised delay, so the request must not wait here.
+// Asking the home again at once can't change its answer, so the request must not wait for it.
 #[test_case(Verdict::Held => (Reason::Duplicate, Ran::MayHaveRun, true); "held")]
 #[test_case(Verdict::Ran => (Reason::Duplicate, Ran::Yes, false); "ran")]
 #[test_case(Verdict::Expired => (Reason::Duplicate, Ran::MayHaveRun, false); "expired")]
