--- a/components/scheduler/src/agent/estimate.rs
+++ b/components/scheduler/src/agent/estimate.rs
@@ -1,4 +1,5 @@
-//! Which work can still be answered in time, and how much room there is beyond the slots.
+//! Estimates of whether a request can be answered before its deadline, and of how many grants the target
+//! can have beyond its slots.
 
 use std::time::{Duration, Instant};
 
@@ -6,27 +7,31 @@
 
 use super::{State, pace};
 
-/// Share of the estimated run time that a request may lack before it counts as hopeless, since
-/// most requests generate less than they may.
-const LEAST_RUN: f64 = 0.8;
-/// Share of the time to spare that a request may be expected to wait: estimates are rough, and a
-/// queue that is as long as the deadlines allow answers everything late.
-const SPARE_USED: f64 = 0.7;
-/// Most of the target that the tiers above are taken to use for good.
-const MOST_ABOVE: f64 = 0.95;
+/// Share of the estimated run time that must remain before a request's deadline; with less, the
+/// deadline can't be met. Below 1 because most requests generate fewer tokens than their maximum.
+const LEAST_RUN_TIME_SHARE: f64 = 0.8;
+/// Share of a request's spare time (remaining time minus estimated run time) that its expected wait may
+/// use. Below 1 because estimates are rough, and a queue as long as the deadlines allow would make all
+/// answers late.
+const MAX_WAIT_SHARE_OF_SPARE_TIME: f64 = 0.7;
+/// Upper limit of the share of the target that higher tiers are expected to use, so that the expected
+/// wait of a lower tier stays finite.
+const MAX_SHARE_OF_HIGHER_TIERS: f64 = 0.95;
 
-/// What the agent weighs beyond room and order.
+/// Optional rules of the agent in addition to capacity limits and queue order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Whether work that can no longer be answered in time is denied at once.
+    /// Whether requests that are expected to miss their deadline are denied at once.
     pub cut_off: bool,
-    /// Whether grants are given ahead of the slots while others travel to their start.
+    /// Whether grants may exceed the slots to compensate for the time between a grant and its start,
+    /// in which the slot is idle.
     pub ahead: bool,
-    /// Whether the request of a tier goes first that came last: where a tier asks for more than it
-    /// gets, who came first would be late by the time that he has room, and so would all after him.
+    /// Whether the latest deadline in a tier is granted first, instead of the earliest. When a tier's
+    /// demand exceeds its capacity, earliest-first order grants each request so late that its answer
+    /// misses the deadline.
     pub newest: bool,
-    /// Part of the work, from 0 to 1, that each tier may have whatever waits above it, so that none
-    /// starves while those above want all that there is.
+    /// Guaranteed share of the work for each tier, from 0 to 1, regardless of the demand of higher
+    /// tiers, so that overload in higher tiers can't starve a lower one. 0 disables the guarantee.
     pub floor: f64,
 }
 
@@ -37,57 +42,66 @@
 }
 
 impl Policy {
-    /// The policy of the first version, which did neither.
+    /// Returns the policy with every rule disabled: no deadline check, no extra grants, earliest
+    /// deadline first, no guaranteed share.
     pub fn first() -> Policy {
         Policy { cut_off: false, ahead: false, newest: false, floor: 0.0 }
     }
 }
 
 impl State {
-    /// Work of a request in the units of the pace, without the tokens that are probably cached.
-    pub(super) fn work(&self, ask: &Ask) -> u64 {
-        let cached = self.prefixes.cached(&ask.prefix, ask.prefill);
+    /// Returns the estimated work of a request, without the prompt tokens that are probably cached, in
+    /// units of which a decode step has [`pace::DECODE_STEP_WORK`].
+    pub(super) fn uncached_work(&self, ask: &Ask) -> u64 {
+        let cached_tokens = self.prefix_cache.cached_tokens(&ask.prefix, ask.prefill);
         let steps = u64::from(ask.decode) + 1;
-        steps * pace::STEP + u64::from(ask.prefill - cached)
+        steps * pace::DECODE_STEP_WORK + u64::from(ask.prefill - cached_tokens)
     }
 
-    /// Least time that some work takes once it runs.
-    pub(super) fn least_run(&self, now: Instant, work: u64) -> Duration {
-        self.run(now, work).mul_f64(LEAST_RUN)
+    /// Returns the shortest time in which some work is expected to run; zero while there is no
+    /// estimate or deadlines aren't checked.
+    pub(super) fn least_run_time(&self, now: Instant, work: u64) -> Duration {
+        self.run_time(now, work).mul_f64(LEAST_RUN_TIME_SHARE)
     }
 
-    fn run(&self, now: Instant, work: u64) -> Duration {
-        let run = self.pace.estimate(now, work).filter(|_| self.policy.cut_off);
-        run.unwrap_or(Duration::ZERO)
+    /// Returns the estimated run time of some work; zero while there is no estimate or deadlines aren't
+    /// checked.
+    fn run_time(&self, now: Instant, work: u64) -> Duration {
+        let run_time = self.run_times.estimate(now, work).filter(|_| self.policy.cut_off);
+        run_time.unwrap_or(Duration::ZERO)
     }
 
-    /// Whether a request can't be answered in time here, however short the queue.
-    pub(super) fn is_hopeless(&self, now: Instant, ask: &Ask, work: u64) -> bool {
-        self.least_run(now, work) > ask.remaining
+    /// Returns whether a request would miss its deadline even with an empty queue.
+    pub(super) fn is_infeasible(&self, now: Instant, ask: &Ask, work: u64) -> bool {
+        self.least_run_time(now, work) > ask.remaining
     }
 
-    /// Whether the queue before a request is too long for its deadline. Only its own tier and
-    /// those above count.
-    pub(super) fn is_too_long(&self, now: Instant, ask: &Ask, work: u64) -> bool {
-        let spare = ask.remaining.saturating_sub(self.run(now, work));
-        self.wait(now, ask.rank) > spare.mul_f64(SPARE_USED)
+    /// Returns whether a request's expected wait is too long for its deadline. Only waiting work of the
+    /// request's own tier and of higher tiers counts.
+    pub(super) fn is_queue_too_long(&self, now: Instant, ask: &Ask, work: u64) -> bool {
+        let spare_time = ask.remaining.saturating_sub(self.run_time(now, work));
+        self.expected_wait(now, ask.rank) > spare_time.mul_f64(MAX_WAIT_SHARE_OF_SPARE_TIME)
     }
 
-    pub(super) fn lower_waits(&self, rank: Rank) -> bool {
+    /// Returns whether a reservation of a tier below `rank` waits (one with a higher rank number).
+    pub(super) fn has_lower_tier_waiting(&self, rank: Rank) -> bool {
         self.queue.last().is_some_and(|waiting| waiting.rank > rank)
     }
 
-    /// Time until the work that waits in a tier and above has run, while more of the tiers above
-    /// comes in as it did lately.
-    fn wait(&self, now: Instant, rank: Rank) -> Duration {
-        let before = self.run(now, self.queue.work(rank));
-        let own_share = 1.0 - self.shares.above(rank).min(MOST_ABOVE);
-        before.div_f64(own_share) / u32::try_from(self.held.max(1)).unwrap_or(u32::MAX)
+    /// Returns the expected time until all work that waits in a tier and in higher tiers has run,
+    /// assuming that new work of higher tiers keeps arriving at its recent rate.
+    fn expected_wait(&self, now: Instant, rank: Rank) -> Duration {
+        let run_time_before = self.run_time(now, self.queue.work_at_or_above(rank));
+        let own_share = 1.0 - self.tier_shares.share_above(rank).min(MAX_SHARE_OF_HIGHER_TIERS);
+        run_time_before.div_f64(own_share)
+            / u32::try_from(self.held_slots.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Requests that may run or hold a grant at once.
-    pub(super) fn slots(&self) -> usize {
-        let ahead = if self.policy.ahead { self.pace.ahead(self.room.slots) } else { 0 };
-        self.room.slots + ahead
+    /// Returns the number of requests that may run or hold a grant at the same time, including grants
+    /// beyond the slots.
+    pub(super) fn grantable_slots(&self) -> usize {
+        let extra_grants =
+            if self.policy.ahead { self.run_times.extra_grants(self.room.slots) } else { 0 };
+        self.room.slots + extra_grants
     }
 }
--- a/components/scheduler/src/agent/event.rs
+++ b/components/scheduler/src/agent/event.rs
@@ -1,89 +1,94 @@
-//! Events that the agent's reducer takes and effects that it gives.
+//! Events that the agent's reducer accepts and effects that it returns.
 
 use model::{
     id::{Fingerprint, Offset},
     reservation::{Ask, Denial, Fate, Grant, Id, Limit},
 };
 
-/// What happened.
+/// Input of the agent's reducer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// An entry asks for room.
+    /// An entry requests a reservation: a place in the queue for a slot at the target.
     Reserve(Ask),
-    /// An entry sends the body for a granted reservation.
+    /// An entry starts a granted reservation by sending the request body.
     Start(Id),
-    /// An entry gives a reservation up.
+    /// An entry cancels a reservation that it no longer needs.
     Cancel(Id),
-    /// An entry asks what became of a reservation; one that hasn't started never will.
+    /// An entry asks for the final state of a reservation; a reservation that hasn't started is
+    /// cancelled, so that the answer can't change afterwards.
     Settle(Id),
-    /// The target answered a request whole; its end follows.
+    /// The target's answer to a request is complete; `Ended` follows.
     Served(Id),
-    /// The connection of a run broke; its end follows, and whether the target died.
+    /// The connection of a running request broke; `Ended` follows, and `Died` or `Lives` once a new
+    /// connection attempt shows whether the target crashed.
     Lost(Id),
-    /// The target takes no connection any more.
+    /// The target no longer accepts connections: it crashed.
     Died,
-    /// The target takes connections: what broke had another cause.
+    /// The target accepts connections: the broken connections were not caused by a crash.
     Lives,
-    /// The target is done with a request, in whatever way.
+    /// The target no longer processes a request, whether it succeeded, failed or was cancelled.
     Ended(Id),
-    /// A configuration offset was heard of or applied.
+    /// A configuration offset was received from another process or applied by this one.
     Heard(Offset),
-    /// The target runs so many requests at once.
+    /// Number of requests that the target can run at the same time; 0 counts as 1.
     Sized(usize),
-    /// Whether the target takes requests: while it takes none, no room is granted.
+    /// Whether the target accepts requests; while it doesn't, nothing is granted and all waiting and
+    /// new reservations are denied.
     Reached(bool),
-    /// An entry heard of the target's rate limit.
+    /// An entry reports what it last received about the target's rate limit.
     Limited(Limit),
-    /// The target has so many requests that hold no room here.
+    /// Number of requests in flight at the target that were sent without a reservation at this agent.
     Unreserved(usize),
-    /// The process is asked to leave.
+    /// The process shuts down: waiting and new reservations are denied, granted and running ones finish.
     Drain,
-    /// Time has passed.
+    /// Time has passed and nothing else has happened; due at the time returned by `next_wake`.
     Tick,
 }
 
-/// What has to be done.
+/// Output of the agent's reducer, which the caller carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Tell the entry that there is room.
+    /// Reply to the entry that its reservation holds a slot and may start.
     Grant {
-        /// The reservation.
+        /// The granted reservation.
         id: Id,
-        /// What the entry is told.
+        /// Lifetime of the grant, and the agent's load.
         grant: Grant,
     },
-    /// Tell the entry that the reservation ended; it never starts.
+    /// Reply to the entry that its reservation ended without a grant and never starts.
     Deny {
-        /// The reservation.
+        /// The denied reservation.
         id: Id,
-        /// What the entry is told.
+        /// Reason, suggested retry delay, and the agent's load.
         denial: Denial,
     },
-    /// Send the body to the target, now and only now.
+    /// Send the request body to the target. This effect is returned at most once per reservation and
+    /// must be carried out at once or never.
     Dispatch(Id),
-    /// Tell the entry that the body isn't sent.
+    /// Reply to the entry that a start is rejected and its body isn't sent.
     DenyStart {
-        /// The reservation.
+        /// The reservation that the entry tried to start.
         id: Id,
-        /// What became of it before.
+        /// State of the reservation, which explains the rejection.
         fate: Fate,
     },
-    /// Answer a cancel or a question.
+    /// Reply to a `Cancel` or `Settle` event.
     Tell {
-        /// The reservation.
+        /// The reservation that the event was about.
         id: Id,
-        /// What became of it.
+        /// State of the reservation after the event.
         fate: Fate,
     },
-    /// Record that the target died.
+    /// Append a record that the target crashed to the log of crashes.
     Crash {
-        /// Bodies that it ran and that weren't recorded before.
+        /// Bodies that were running at the target and are in no earlier crash record of this agent.
         running: Vec<Fingerprint>,
-        /// Whether the only one of them was suspected before.
+        /// Whether `running` has one body only, and that body was already suspected.
         alone: bool,
     },
-    /// Record that a suspected body ran alone to its end.
+    /// Append a record that a suspected body ran alone and completed without a crash.
     Clear(Fingerprint),
-    /// Nothing waits or runs any more, and nothing will.
+    /// The agent is draining and has no waiting, granted or running reservations left. Returned after
+    /// every later event too.
     Drained,
 }
--- a/components/scheduler/src/agent/mod.rs
+++ b/components/scheduler/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent's reducer: who waits for the target, who may start, what runs.
+//! The agent's reducer: decides which reservations wait for the target, which are granted a slot, and
+//! tracks which requests run at it.
 
 mod estimate;
 mod event;
@@ -23,139 +24,149 @@
 
 pub use estimate::Policy;
 pub use event::{Effect, Event};
-use pace::Pace;
-use prefixes::Prefixes;
-use queue::{Order, Queue, Waiting};
-use shares::Shares;
-use suspects::Suspects;
-
-/// Time for which an ended reservation is remembered.
+use pace::RunTimeEstimator;
+use prefixes::PrefixCache;
+use queue::{Queue, QueueKey, WaitingReservation};
+use shares::TierShares;
+use suspects::SuspectBodies;
+
+/// Time for which the final state of an ended reservation is kept, so that late or repeated messages
+/// about the reservation are answered correctly.
 pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(600);
-/// Time for which a shed tier is reported after the last shedding.
+/// Time after the last eviction for which [`Load::floor`] reports the lowest rank number evicted.
 pub const SHED_LIFE: Duration = Duration::from_secs(1);
-const RETRY_MIN: Duration = Duration::from_millis(50);
-const RETRY_MAX: Duration = Duration::from_secs(30);
+/// Lower limit of the retry delay that a denial suggests.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Upper limit of the retry delay that a denial suggests.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Room at the target.
+/// Capacity limits of a target, of its queue and of its grants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Room {
-    /// Requests that run or hold a grant at once.
+    /// Maximum number of requests that run or hold a grant at the same time; [`Policy::ahead`] allows
+    /// more.
     pub slots: usize,
-    /// Tokens that these may hold together.
+    /// Maximum sum of the tokens (prompt plus maximum output) of all running and granted requests. A
+    /// request that is larger than this limit is granted when nothing else holds a slot.
     pub tokens: u64,
-    /// Most reservations that wait.
+    /// Maximum number of waiting reservations; beyond it the last one in the queue is evicted.
     pub waiting: usize,
-    /// Life of a grant.
+    /// Time within which a grant must be started before it expires.
     pub grant: Duration,
 }
 
-/// Where a live reservation is.
+/// State of a reservation that hasn't ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    Waiting { order: Order },
-    Granted { until: Instant, hold: Hold },
-    Running { since: Instant, hold: Hold },
+    Waiting { queue_key: QueueKey },
+    Granted { expires_at: Instant, usage: Usage },
+    Running { started_at: Instant, usage: Usage },
 }
 
-/// What a granted or running reservation takes of the target.
+/// Share of the target's capacity that a granted or running reservation uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Hold {
+struct Usage {
     tokens: u64,
-    /// In the units of the pace.
+    /// Estimated work, in the units of [`pace::DECODE_STEP_WORK`].
     work: u64,
-    /// Whether it counts for the target's rate limit.
-    limited: bool,
+    /// Whether the grant was counted against the target's rate limit.
+    is_rate_limited: bool,
 }
 
-/// When a grant runs out.
+/// Time at which a grant expires unless it is started before; sorted by time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Lapse {
+struct GrantExpiry {
     at: Instant,
     id: Id,
 }
 
+/// Time at which the final state of an ended reservation is dropped.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
-    until: Instant,
+    expires_at: Instant,
     id: Id,
 }
 
+/// Lowest rank number evicted recently, and the time until which it is reported in [`Load::floor`].
 #[derive(Clone, Copy, Debug)]
-struct Shed {
+struct ShedTier {
     rank: Rank,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Everything that the agent decides from.
+/// State of the agent's reducer.
 #[derive(Clone, Debug)]
 pub struct State {
     room: Room,
     policy: Policy,
-    /// Waiting reservations, best first; each has a `Stage::Waiting` in `live`.
+    /// Waiting reservations in queue order; each has a `Stage::Waiting` in `active`.
     queue: Queue,
     /// Reservations that haven't ended.
-    live: BTreeMap<Id, Stage>,
-    /// One for each `Stage::Granted` in `live`, so that time needs no scan.
-    lapses: BTreeSet<Lapse>,
-    /// Reservations that ended and how; never in `live` too.
-    ended: BTreeMap<Id, Fate>,
-    /// The same by time of forgetting.
+    active: BTreeMap<Id, Stage>,
+    /// One entry for each `Stage::Granted` in `active`, sorted by time, so that finding the expired
+    /// grants needs no scan.
+    grant_expiries: BTreeSet<GrantExpiry>,
+    /// How each ended reservation ended; a reservation is never in both `final_fates` and `active`.
+    final_fates: BTreeMap<Id, Fate>,
+    /// The reservations in `final_fates`, in the order in which they are dropped from it.
     tombstones: VecDeque<Tombstone>,
-    /// Reservations granted or running, and the tokens that they hold.
-    held: usize,
+    /// Number of granted and running reservations.
+    held_slots: usize,
+    /// Tokens held by granted and running reservations.
     held_tokens: u64,
-    pace: Pace,
-    prefixes: Prefixes,
-    shares: Shares,
-    shed: Option<Shed>,
-    heard: Offset,
-    draining: bool,
-    /// Whether the target takes no requests.
-    unreached: bool,
-    /// Requests at the target that hold no room here.
-    unreserved: usize,
-    /// What was last heard of the target's rate limit.
-    limit: Option<News>,
-    /// Spaces grants by it; `Some` just where `limit` names an interval.
+    run_times: RunTimeEstimator,
+    prefix_cache: PrefixCache,
+    tier_shares: TierShares,
+    shed_tier: Option<ShedTier>,
+    /// Highest configuration offset that was received from another process or applied by this one.
+    highest_offset: Offset,
+    is_draining: bool,
+    /// Whether the target accepts no requests; while it doesn't, reservations are denied.
+    is_unreachable: bool,
+    /// Requests in flight at the target that were sent without a reservation at this agent.
+    unreserved_requests: usize,
+    /// Most recent report about the target's rate limit; `None` before the first report.
+    rate_limit: Option<News>,
+    /// Spaces grants to respect the rate limit; `Some` only while `rate_limit` has an interval.
     pacer: Option<Pacer>,
-    /// When it lets the next grant through, where nothing else holds that up.
-    next_grant: Option<Instant>,
-    suspects: Suspects,
+    /// When the rate limit allows the next grant; `None` unless only the rate limit delays it.
+    next_grant_at: Option<Instant>,
+    suspects: SuspectBodies,
 }
 
-/// Gives the state of an agent whose target is idle.
+/// Returns the initial state of an agent whose target is idle, with the default policy.
 pub fn open(room: Room) -> State {
     open_with(room, Policy::default())
 }
 
-/// The same under another policy, for comparisons.
+/// Returns the initial state of an agent whose target is idle, with the given policy.
 pub fn open_with(room: Room, policy: Policy) -> State {
     State {
         room,
         policy,
-        queue: queue::open(policy.newest),
-        live: BTreeMap::new(),
-        lapses: BTreeSet::new(),
-        ended: BTreeMap::new(),
+        queue: queue::new(policy.newest),
+        active: BTreeMap::new(),
+        grant_expiries: BTreeSet::new(),
+        final_fates: BTreeMap::new(),
         tombstones: VecDeque::new(),
-        held: 0,
+        held_slots: 0,
         held_tokens: 0,
-        pace: pace::open(),
-        prefixes: prefixes::open(room.tokens),
-        shares: Shares::default(),
-        shed: None,
-        heard: 0,
-        draining: false,
-        unreached: false,
-        unreserved: 0,
-        limit: None,
+        run_times: pace::new(),
+        prefix_cache: prefixes::new(room.tokens),
+        tier_shares: TierShares::default(),
+        shed_tier: None,
+        highest_offset: 0,
+        is_draining: false,
+        is_unreachable: false,
+        unreserved_requests: 0,
+        rate_limit: None,
         pacer: None,
-        next_grant: None,
-        suspects: Suspects::default(),
+        next_grant_at: None,
+        suspects: SuspectBodies::default(),
     }
 }
 
-/// Takes one event in and gives what has to be done about it.
+/// Applies one event to the state and returns the effects that the caller must carry out, in order.
 pub fn reduce(state: &mut State, now: Instant, event: Event) -> Vec<Effect> {
     let mut effects = Vec::new();
     state.expire(now, &mut effects);
@@ -163,64 +174,74 @@
         Event::Reserve(ask) => state.reserve(now, ask, &mut effects),
         Event::Start(id) => state.start(now, id, &mut effects),
         Event::Cancel(id) | Event::Settle(id) => state.cancel(now, id, &mut effects),
-        Event::Served(id) => effects.extend(state.suspects.cleared(id).map(Effect::Clear)),
-        Event::Lost(id) => state.suspects.lose(id),
-        Event::Died => state.die(now, &mut effects),
-        Event::Lives => state.suspects.acquit(),
+        Event::Served(id) => effects.extend(state.suspects.body_run_alone(id).map(Effect::Clear)),
+        Event::Lost(id) => state.suspects.add_broken_run(id),
+        Event::Died => state.record_crash(now, &mut effects),
+        Event::Lives => state.suspects.clear_broken_runs(),
         Event::Ended(id) => state.end(now, id),
-        Event::Heard(offset) => state.heard = state.heard.max(offset),
+        Event::Heard(offset) => state.highest_offset = state.highest_offset.max(offset),
         Event::Sized(slots) => state.room.slots = slots.max(1),
-        Event::Reached(reached) => state.reached(now, reached, &mut effects),
-        Event::Limited(limit) => state.limited(now, limit),
-        Event::Unreserved(unreserved) => state.unreserved = unreserved,
+        Event::Reached(is_reachable) => state.set_reachable(now, is_reachable, &mut effects),
+        Event::Limited(limit) => state.update_rate_limit(now, limit),
+        Event::Unreserved(requests) => state.unreserved_requests = requests,
         Event::Drain => state.drain(now, &mut effects),
         Event::Tick => {}
     }
-    state.fill(now, &mut effects);
-    if state.draining && state.live.is_empty() {
+    state.issue_grants(now, &mut effects);
+    if state.is_draining && state.active.is_empty() {
         effects.push(Effect::Drained);
     }
     effects
 }
 
-/// When the next `Event::Tick` is due, if nothing else happens before.
+/// Returns when the caller must next send `Event::Tick` if no other event comes before; `None` if no
+/// tick is needed.
 pub fn next_wake(state: &State) -> Option<Instant> {
-    let lapse = state.lapses.first().map(|lapse| lapse.at);
-    lapse.into_iter().chain(state.queue.next_deadline()).chain(state.next_grant).min()
+    let expiry = state.grant_expiries.first().map(|expiry| expiry.at);
+    expiry.into_iter().chain(state.queue.next_latest_start()).chain(state.next_grant_at).min()
 }
 
 impl State {
-    /// What the agent says of its load.
+    /// Returns the load that the agent reports with every reply.
     pub fn load(&self) -> Load {
-        let running = self.held.try_into().unwrap_or(u32::MAX);
+        let running = self.held_slots.try_into().unwrap_or(u32::MAX);
         let waiting = self.queue.len().try_into().unwrap_or(u32::MAX);
-        let floor = self.shed.map(|shed| shed.rank);
-        Load { running, waiting, floor, offset: self.heard, step: self.pace.step() }
+        let floor = self.shed_tier.map(|shed| shed.rank);
+        Load {
+            running,
+            waiting,
+            floor,
+            offset: self.highest_offset,
+            step: self.run_times.step_time(),
+        }
     }
 
-    /// The lowest tier's rank among those that wait.
+    /// Returns the rank of the lowest tier that has a waiting reservation; `None` if the queue is
+    /// empty.
     pub fn lowest_waiting(&self) -> Option<Rank> {
         self.queue.last().map(|waiting| waiting.rank)
     }
 
-    /// Mean time between two requests that the target's rate limit allows; `None` where it has none.
+    /// Returns the mean time between two requests that the target's rate limit allows; `None` if no
+    /// rate limit is known.
     pub fn limit(&self) -> Option<Duration> {
-        self.limit?.interval
+        self.rate_limit?.interval
     }
 
-    /// Whether no new reservations are taken.
+    /// Returns whether the agent is draining and denies all new reservations.
     pub fn is_draining(&self) -> bool {
-        self.draining
+        self.is_draining
     }
 
-    /// The newest word counts, whoever brings it.
-    fn limited(&mut self, now: Instant, limit: Limit) {
+    /// Applies a report about the target's rate limit unless a report at least as new is known. Reports
+    /// from different entries can arrive out of order.
+    fn update_rate_limit(&mut self, now: Instant, limit: Limit) {
         let Limit { interval, age } = limit;
         let at = now.checked_sub(age).unwrap_or(now);
-        if self.limit.is_some_and(|known| known.at >= at) {
+        if self.rate_limit.is_some_and(|known| known.at >= at) {
             return;
         }
-        self.limit = Some(News { interval, at });
+        self.rate_limit = Some(News { interval, at });
         match (interval, &mut self.pacer) {
             (Some(interval), Some(pacer)) => pacer.set(interval),
             (interval, _) => {
@@ -230,45 +251,46 @@
     }
 
     fn reserve(&mut self, now: Instant, ask: Ask, effects: &mut Vec<Effect>) {
-        self.heard = self.heard.max(ask.offset);
-        if self.live.contains_key(&ask.id) {
+        self.highest_offset = self.highest_offset.max(ask.offset);
+        if self.active.contains_key(&ask.id) {
             return;
         }
-        if self.ended.contains_key(&ask.id) {
-            return effects.push(self.denied(ask.id, Reason::Deadline));
+        if self.final_fates.contains_key(&ask.id) {
+            return effects.push(self.denial(ask.id, Reason::Deadline));
         }
-        if self.draining {
-            return self.bury(now, ask.id, Fate::Cancelled, Reason::Draining, effects);
+        if self.is_draining {
+            return self.end_with_denial(now, ask.id, Fate::Cancelled, Reason::Draining, effects);
         }
-        if self.unreached {
-            return self.bury(now, ask.id, Fate::Cancelled, Reason::NoTarget, effects);
+        if self.is_unreachable {
+            return self.end_with_denial(now, ask.id, Fate::Cancelled, Reason::NoTarget, effects);
         }
         if ask.remaining.is_zero() {
-            return self.bury(now, ask.id, Fate::Expired, Reason::Deadline, effects);
+            return self.end_with_denial(now, ask.id, Fate::Expired, Reason::Deadline, effects);
         }
-        let work = self.work(&ask);
-        let is_hopeless = self.is_hopeless(now, &ask, work);
-        let is_late = |state: &State| state.is_too_long(now, &ask, work);
-        if is_hopeless || is_late(self) && !self.shed_below(now, ask.rank, effects) {
-            return self.bury(now, ask.id, Fate::Expired, Reason::Deadline, effects);
+        let work = self.uncached_work(&ask);
+        let is_infeasible = self.is_infeasible(now, &ask, work);
+        let is_queue_too_long = |state: &State| state.is_queue_too_long(now, &ask, work);
+        if is_infeasible || is_queue_too_long(self) && !self.shed_below(now, ask.rank, effects) {
+            return self.end_with_denial(now, ask.id, Fate::Expired, Reason::Deadline, effects);
         }
-        let run = self.least_run(now, work);
-        let order = self.queue.push(now, &ask, work, run);
-        self.live.insert(ask.id, Stage::Waiting { order });
+        let least_run_time = self.least_run_time(now, work);
+        let queue_key = self.queue.push(now, &ask, work, least_run_time);
+        self.active.insert(ask.id, Stage::Waiting { queue_key });
         self.suspects.add(ask.id, ask.body);
-        // Room comes first: nobody is evicted for a place that the best no longer needs.
-        self.fill(now, effects);
+        // Free slots are granted before the queue length is checked: a grant may shorten the queue so
+        // that no reservation must be evicted.
+        self.issue_grants(now, effects);
         if self.queue.len() > self.room.waiting {
-            self.evict(now, effects);
+            self.evict_last(now, effects);
         }
     }
 
     fn start(&mut self, now: Instant, id: Id, effects: &mut Vec<Effect>) {
-        match self.live.get(&id).copied() {
-            Some(Stage::Granted { until, hold }) => {
-                self.lapses.remove(&Lapse { at: until, id });
-                self.pace.start(now, id, until - self.room.grant, hold.work);
-                self.live.insert(id, Stage::Running { since: now, hold });
+        match self.active.get(&id).copied() {
+            Some(Stage::Granted { expires_at, usage }) => {
+                self.grant_expiries.remove(&GrantExpiry { at: expires_at, id });
+                self.run_times.start(now, id, expires_at - self.room.grant, usage.work);
+                self.active.insert(id, Stage::Running { started_at: now, usage });
                 effects.push(Effect::Dispatch(id));
             }
             _ => effects.push(Effect::DenyStart { id, fate: self.fate(id) }),
@@ -276,169 +298,189 @@
     }
 
     fn cancel(&mut self, now: Instant, id: Id, effects: &mut Vec<Effect>) {
-        match self.live.get(&id).copied() {
-            Some(Stage::Waiting { order }) => {
-                self.queue.remove(&order);
-                self.live.remove(&id);
-                self.remember(now, id, Fate::Cancelled);
+        match self.active.get(&id).copied() {
+            Some(Stage::Waiting { queue_key }) => {
+                self.queue.remove(&queue_key);
+                self.active.remove(&id);
+                self.record_end(now, id, Fate::Cancelled);
             }
-            Some(Stage::Granted { until, hold }) => {
-                self.lapses.remove(&Lapse { at: until, id });
-                self.free(hold);
-                self.unspend(hold);
-                self.live.remove(&id);
-                self.remember(now, id, Fate::Cancelled);
+            Some(Stage::Granted { expires_at, usage }) => {
+                self.grant_expiries.remove(&GrantExpiry { at: expires_at, id });
+                self.release(usage);
+                self.return_rate_share(usage);
+                self.active.remove(&id);
+                self.record_end(now, id, Fate::Cancelled);
             }
-            // A call for room that comes after this one must not wait; whether it ever started
-            // stays unknown.
-            None if !self.ended.contains_key(&id) => self.remember(now, id, Fate::Unknown),
+            // The message that makes the reservation may still arrive after its cancellation and must
+            // not be queued then. The agent may have restarted, so it can't say whether the
+            // reservation ever started.
+            None if !self.final_fates.contains_key(&id) => self.record_end(now, id, Fate::Unknown),
             Some(Stage::Running { .. }) | None => {}
         }
         effects.push(Effect::Tell { id, fate: self.fate(id) });
     }
 
     fn end(&mut self, now: Instant, id: Id) {
-        let Some(Stage::Running { since, hold }) = self.live.get(&id).copied() else {
+        let Some(Stage::Running { started_at, usage }) = self.active.get(&id).copied() else {
             return;
         };
-        self.live.remove(&id);
-        self.free(hold);
-        self.remember(now, id, Fate::Started);
-        self.pace.end(now, id, since, hold.work);
+        self.active.remove(&id);
+        self.release(usage);
+        self.record_end(now, id, Fate::Started);
+        self.run_times.end(now, id, started_at, usage.work);
     }
 
-    /// Blames what ran; a body that ran alone is barred, also for those that wait.
-    fn die(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Records which bodies ran when the target crashed. A suspect body that ran alone is banned, and
+    /// waiting reservations with the same body are denied by `issue_grants`.
+    fn record_crash(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let is_running = |stage: &Stage| matches!(stage, Stage::Running { .. });
-        let running = self.live.iter().filter(|(_, stage)| is_running(stage));
+        let running = self.active.iter().filter(|(_, stage)| is_running(stage));
         let running: Vec<Id> = running.map(|(id, _)| *id).collect();
-        let (running, alone) = self.suspects.blame(now, &running);
+        let (running, alone) = self.suspects.record_crash(now, &running);
         if !running.is_empty() {
             effects.push(Effect::Crash { running, alone });
         }
     }
 
-    fn deny_barred(&mut self, now: Instant, id: Id, wait: Duration, effects: &mut Vec<Effect>) {
-        self.live.remove(&id);
-        self.remember(now, id, Fate::Cancelled);
-        let denial = Denial { reason: Reason::Quarantined, retry_after: wait, load: self.load() };
+    fn deny_banned(
+        &mut self,
+        now: Instant,
+        id: Id,
+        retry_after: Duration,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.active.remove(&id);
+        self.record_end(now, id, Fate::Cancelled);
+        let denial = Denial { reason: Reason::Quarantined, retry_after, load: self.load() };
         effects.push(Effect::Deny { id, denial });
     }
 
     fn drain(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        self.draining = true;
+        self.is_draining = true;
         self.deny_waiting(now, Reason::Draining, effects);
     }
 
-    /// Who waits at a target that takes no requests is better off elsewhere.
-    fn reached(&mut self, now: Instant, reached: bool, effects: &mut Vec<Effect>) {
-        self.unreached = !reached;
-        if !reached {
+    /// Sets whether the target accepts requests. While it doesn't, waiting reservations are denied, so
+    /// that their entries try other targets.
+    fn set_reachable(&mut self, now: Instant, is_reachable: bool, effects: &mut Vec<Effect>) {
+        self.is_unreachable = !is_reachable;
+        if !is_reachable {
             self.deny_waiting(now, Reason::NoTarget, effects);
         }
     }
 
     fn deny_waiting(&mut self, now: Instant, reason: Reason, effects: &mut Vec<Effect>) {
         while let Some(waiting) = self.queue.pop() {
-            self.live.remove(&waiting.id);
-            self.bury(now, waiting.id, Fate::Cancelled, reason, effects);
+            self.active.remove(&waiting.id);
+            self.end_with_denial(now, waiting.id, Fate::Cancelled, reason, effects);
         }
     }
 
-    /// Grants room to those who wait; who comes next is never passed over for a smaller.
-    fn fill(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        self.next_grant = None;
-        while let Some(next) = self.next() {
-            let (id, order) = (next.id, next.order);
-            let fits = self.held_tokens + next.tokens <= self.room.tokens || self.held == 0;
-            if let Some(wait) = self.suspects.barred(now, id) {
-                self.queue.remove(&order);
-                self.deny_barred(now, id, wait, effects);
+    /// Grants free capacity to waiting reservations in order. If the next one doesn't fit, the ones
+    /// behind it wait too, so that small requests can't starve a large one.
+    fn issue_grants(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.next_grant_at = None;
+        while let Some(next) = self.next_to_grant() {
+            let (id, queue_key) = (next.id, next.queue_key);
+            let has_tokens =
+                self.held_tokens + next.tokens <= self.room.tokens || self.held_slots == 0;
+            if let Some(remaining_ban) = self.suspects.remaining_ban(now, id) {
+                self.queue.remove(&queue_key);
+                self.deny_banned(now, id, remaining_ban, effects);
                 continue;
             }
-            let may = self.suspects.may_grant(id, self.held);
-            if self.held + self.unreserved >= self.slots() || !fits || !may {
+            let may_run_beside_others = self.suspects.may_grant(id, self.held_slots);
+            if self.held_slots + self.unreserved_requests >= self.grantable_slots()
+                || !has_tokens
+                || !may_run_beside_others
+            {
                 return;
             }
-            self.next_grant = self.pacer.map(|pacer| pacer.next()).filter(|&next| next > now);
-            if self.next_grant.is_some() {
+            self.next_grant_at = self.pacer.map(|pacer| pacer.next()).filter(|&next| next > now);
+            if self.next_grant_at.is_some() {
                 return;
             }
-            let Some(waiting) = self.queue.remove(&order) else {
+            let Some(waiting) = self.queue.remove(&queue_key) else {
                 return;
             };
             if let Some(pacer) = &mut self.pacer {
                 pacer.take(now);
             }
-            self.held += 1;
+            self.held_slots += 1;
             self.held_tokens += waiting.tokens;
-            self.prefixes.insert(&waiting.prefix);
-            self.shares.grant(waiting.rank, waiting.work);
-            self.suspects.grant(waiting.id);
-            let until = now + self.room.grant;
-            let limited = self.pacer.is_some();
-            let hold = Hold { tokens: waiting.tokens, work: waiting.work, limited };
-            self.live.insert(waiting.id, Stage::Granted { until, hold });
-            self.lapses.insert(Lapse { at: until, id: waiting.id });
+            self.prefix_cache.insert(&waiting.prefix);
+            self.tier_shares.grant(waiting.rank, waiting.work);
+            self.suspects.add_grant(waiting.id);
+            let expires_at = now + self.room.grant;
+            let is_rate_limited = self.pacer.is_some();
+            let usage = Usage { tokens: waiting.tokens, work: waiting.work, is_rate_limited };
+            self.active.insert(waiting.id, Stage::Granted { expires_at, usage });
+            self.grant_expiries.insert(GrantExpiry { at: expires_at, id: waiting.id });
             let grant = Grant { life: self.room.grant, load: self.load() };
             effects.push(Effect::Grant { id: waiting.id, grant });
         }
     }
 
-    /// Who is granted room next: the best, unless a lower tier has less than what each may have.
-    fn next(&self) -> Option<&Waiting> {
-        let starves = |waiting: &&Waiting| self.shares.of(waiting.rank) < self.policy.floor;
+    /// Returns the reservation to grant next: the first in the queue, unless tiers have a guaranteed
+    /// share (`Policy::floor`) and the first tier below its share comes later in the queue.
+    fn next_to_grant(&self) -> Option<&WaitingReservation> {
+        let is_below_floor = |waiting: &&WaitingReservation| {
+            self.tier_shares.share_of(waiting.rank) < self.policy.floor
+        };
         let first = self.queue.first()?;
         if self.policy.floor == 0.0 || self.queue.last()?.rank == first.rank {
             return Some(first);
         }
-        self.queue.iter().find(starves).or(Some(first))
+        self.queue.iter().find(is_below_floor).or(Some(first))
     }
 
     fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        while let Some(lapse) = self.lapses.first().copied().filter(|lapse| lapse.at <= now) {
-            self.lapses.pop_first();
-            if let Some(Stage::Granted { hold, .. }) = self.live.remove(&lapse.id) {
-                self.free(hold);
-                self.unspend(hold);
-                self.remember(now, lapse.id, Fate::Expired);
+        while let Some(expiry) =
+            self.grant_expiries.first().copied().filter(|expiry| expiry.at <= now)
+        {
+            self.grant_expiries.pop_first();
+            if let Some(Stage::Granted { usage, .. }) = self.active.remove(&expiry.id) {
+                self.release(usage);
+                self.return_rate_share(usage);
+                self.record_end(now, expiry.id, Fate::Expired);
             }
         }
-        while let Some(late) = self.queue.pop_late(now) {
-            self.live.remove(&late.id);
-            self.bury(now, late.id, Fate::Expired, Reason::Deadline, effects);
+        while let Some(missed) = self.queue.pop_past_latest_start(now) {
+            self.active.remove(&missed.id);
+            self.end_with_denial(now, missed.id, Fate::Expired, Reason::Deadline, effects);
         }
-        while self.tombstones.front().is_some_and(|t| t.until <= now) {
+        while self.tombstones.front().is_some_and(|tombstone| tombstone.expires_at <= now) {
             if let Some(tombstone) = self.tombstones.pop_front() {
-                self.ended.remove(&tombstone.id);
+                self.final_fates.remove(&tombstone.id);
             }
         }
-        if self.shed.is_some_and(|shed| shed.until <= now) {
-            self.shed = None;
+        if self.shed_tier.is_some_and(|shed| shed.expires_at <= now) {
+            self.shed_tier = None;
         }
     }
 
-    /// Sheds a reservation of a tier below one, if any waits.
+    /// Evicts the last reservation in the queue if its tier is below that of `rank`. Returns whether
+    /// one was evicted.
     fn shed_below(&mut self, now: Instant, rank: Rank, effects: &mut Vec<Effect>) -> bool {
-        let lower_waits = self.lower_waits(rank);
-        if lower_waits {
-            self.evict(now, effects);
+        let has_lower_tier_waiting = self.has_lower_tier_waiting(rank);
+        if has_lower_tier_waiting {
+            self.evict_last(now, effects);
         }
-        lower_waits
+        has_lower_tier_waiting
     }
 
-    fn evict(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let Some(worst) = self.queue.pop_worst() else {
+    fn evict_last(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let Some(last) = self.queue.pop_last() else {
             return;
         };
-        self.live.remove(&worst.id);
-        let until = now + SHED_LIFE;
-        let rank = self.shed.map_or(worst.rank, |shed| shed.rank.min(worst.rank));
-        self.shed = Some(Shed { rank, until });
-        self.bury(now, worst.id, Fate::Evicted, Reason::Overloaded, effects);
+        self.active.remove(&last.id);
+        let expires_at = now + SHED_LIFE;
+        let rank = self.shed_tier.map_or(last.rank, |shed| shed.rank.min(last.rank));
+        self.shed_tier = Some(ShedTier { rank, expires_at });
+        self.end_with_denial(now, last.id, Fate::Evicted, Reason::Overloaded, effects);
     }
 
-    fn bury(
+    fn end_with_denial(
         &mut self,
         now: Instant,
         id: Id,
@@ -446,42 +488,42 @@
         reason: Reason,
         effects: &mut Vec<Effect>,
     ) {
-        self.remember(now, id, fate);
-        effects.push(self.denied(id, reason));
+        self.record_end(now, id, fate);
+        effects.push(self.denial(id, reason));
     }
 
-    fn denied(&self, id: Id, reason: Reason) -> Effect {
+    fn denial(&self, id: Id, reason: Reason) -> Effect {
         let waiting = u32::try_from(self.queue.len() + 1).unwrap_or(u32::MAX);
         let slots = u32::try_from(self.room.slots).unwrap_or(u32::MAX);
-        let drained = self.pace.run().saturating_mul(waiting) / slots;
-        let retry_after = drained.clamp(RETRY_MIN, RETRY_MAX);
+        let drain_time = self.run_times.mean_run_time().saturating_mul(waiting) / slots;
+        let retry_after = drain_time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Effect::Deny { id, denial: Denial { reason, retry_after, load: self.load() } }
     }
 
-    fn free(&mut self, hold: Hold) {
-        self.held -= 1;
-        self.held_tokens -= hold.tokens;
+    fn release(&mut self, usage: Usage) {
+        self.held_slots -= 1;
+        self.held_tokens -= usage.tokens;
     }
 
-    /// A grant that wasn't used leaves its part of the rate limit to others.
-    fn unspend(&mut self, hold: Hold) {
-        if let Some(pacer) = self.pacer.as_mut().filter(|_| hold.limited) {
+    /// Returns an unused grant's share of the rate limit, so that another grant can use it.
+    fn return_rate_share(&mut self, usage: Usage) {
+        if let Some(pacer) = self.pacer.as_mut().filter(|_| usage.is_rate_limited) {
             pacer.give_back();
         }
     }
 
-    fn remember(&mut self, now: Instant, id: Id, fate: Fate) {
+    fn record_end(&mut self, now: Instant, id: Id, fate: Fate) {
         self.suspects.remove(id);
-        self.ended.insert(id, fate);
-        self.tombstones.push_back(Tombstone { until: now + TOMBSTONE_LIFE, id });
+        self.final_fates.insert(id, fate);
+        self.tombstones.push_back(Tombstone { expires_at: now + TOMBSTONE_LIFE, id });
     }
 
     fn fate(&self, id: Id) -> Fate {
-        match self.live.get(&id) {
+        match self.active.get(&id) {
             Some(Stage::Waiting { .. }) => Fate::Waiting,
             Some(Stage::Granted { .. }) => Fate::Granted,
             Some(Stage::Running { .. }) => Fate::Started,
-            None => self.ended.get(&id).copied().unwrap_or(Fate::Unknown),
+            None => self.final_fates.get(&id).copied().unwrap_or(Fate::Unknown),
         }
     }
 }
--- a/components/scheduler/src/agent/pace.rs
+++ b/components/scheduler/src/agent/pace.rs
@@ -1,4 +1,4 @@
-//! How fast the target is, learnt from the runs that it has done.
+//! Estimates of the target's run times, based on the runs that it has completed.
 
 use std::{
     collections::BTreeSet,
@@ -7,136 +7,159 @@
 
 use model::reservation::Id;
 
-/// Units of work in one decode step; a step prefills about as many tokens of one prompt.
-pub const STEP: u64 = 256;
-/// Share of the newest run in the averages.
-const WEIGHT: f64 = 1.0 / 16.0;
-/// The same for the time of a unit of work, which callers' guesses of lengths make noisy.
-const UNIT_WEIGHT: f64 = 1.0 / 64.0;
-/// Runs that must have ended before estimates are given.
-const LEARNT: u32 = 8;
-/// A run that takes this many times its estimate speaks against the target before it ends.
-const OVERDUE: u32 = 3;
-/// Time without evidence after which half of a slowdown is no longer believed.
-const HALF_LIFE: Duration = Duration::from_secs(2);
+/// Units of work in one decode step. A unit is the prefill of one prompt token; in the time of one step
+/// the target prefills about this many tokens of a prompt.
+pub const DECODE_STEP_WORK: u64 = 256;
+/// Weight of the newest sample in the moving averages of run time and start delay.
+const RUN_AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
+/// Weight of the newest run in the moving averages behind the time of a unit of work. Smaller than
+/// [`RUN_AVERAGE_WEIGHT`] because the callers' guesses of answer lengths make the samples noisy.
+const UNIT_TIME_AVERAGE_WEIGHT: f64 = 1.0 / 64.0;
+/// Number of runs that must have ended before estimates are available.
+const MIN_ENDED_RUNS: u32 = 8;
+/// A run that takes more than this many times its estimated time is overdue: it raises the estimates
+/// before it ends.
+const OVERDUE_FACTOR: u32 = 3;
+/// Time without an ended run in which the estimated slowdown, relative to the best time measured,
+/// halves.
+const SLOWDOWN_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// A run that is overdue at a time, unless it ends before.
+/// Time at which a run becomes overdue unless it ends before; sorted by time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Overdue {
-    at: Instant,
-    since: Instant,
+struct OverdueRun {
+    overdue_at: Instant,
+    started_at: Instant,
     id: Id,
 }
 
-/// What was learnt.
+/// Moving averages of measured run times, and the runs in progress.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    /// Seconds that a run takes, on average.
-    run: f64,
-    /// Averages of a run's time, squared, and of its time by its work: see `unit`.
-    squares: f64,
-    products: f64,
-    /// The least that the time of a unit of work ever was, in seconds.
-    best: f64,
-    /// Seconds from a grant to its start, on average.
-    lead: f64,
-    /// Runs that ended.
-    learnt: u32,
-    /// When the last run ended.
-    heard: Option<Instant>,
-    /// One for each run of known length that hasn't ended.
-    overdue: BTreeSet<Overdue>,
+pub struct RunTimeEstimator {
+    /// Average run time, in seconds.
+    mean_run_time_s: f64,
+    /// Average square of a run's time, in seconds squared; see `unit_time_s`.
+    mean_squared_run_time: f64,
+    /// Average product of a run's time in seconds and its estimated work; see `unit_time_s`.
+    mean_run_time_times_work: f64,
+    /// Lowest value that `unit_time_s` has had, in seconds; `f64::MAX` before the first estimate.
+    best_unit_time_s: f64,
+    /// Average time between a grant and its start, in seconds.
+    mean_start_delay_s: f64,
+    /// Number of runs that have ended.
+    ended_runs: u32,
+    /// When the last run ended; `None` before the first.
+    last_ended_at: Option<Instant>,
+    /// One entry for each run that has a non-zero estimate and hasn't ended, sorted by time.
+    overdue_runs: BTreeSet<OverdueRun>,
 }
 
-/// Gives the pace of a target of which nothing is known.
-pub fn open() -> Pace {
-    Pace {
-        run: 0.0,
-        squares: 0.0,
-        products: 0.0,
-        best: f64::MAX,
-        lead: 0.0,
-        learnt: 0,
-        heard: None,
-        overdue: BTreeSet::new(),
+/// Returns an estimator without measurements.
+pub fn new() -> RunTimeEstimator {
+    RunTimeEstimator {
+        mean_run_time_s: 0.0,
+        mean_squared_run_time: 0.0,
+        mean_run_time_times_work: 0.0,
+        best_unit_time_s: f64::MAX,
+        mean_start_delay_s: 0.0,
+        ended_runs: 0,
+        last_ended_at: None,
+        overdue_runs: BTreeSet::new(),
     }
 }
 
-impl Pace {
-    /// A grant was started.
-    pub fn start(&mut self, now: Instant, id: Id, granted: Instant, work: u64) {
-        let lead = now.saturating_duration_since(granted).as_secs_f64();
-        self.lead += (lead - self.lead) * WEIGHT;
-        // A run that is taken to end at once says nothing of the pace by not doing so.
-        if let Some(run) = self.estimate(now, work).filter(|run| !run.is_zero()) {
-            self.overdue.insert(Overdue { at: now + run * OVERDUE, since: now, id });
+impl RunTimeEstimator {
+    /// Records that a run started, with the time of its grant and its estimated work.
+    pub fn start(&mut self, now: Instant, id: Id, granted_at: Instant, work: u64) {
+        let start_delay_s = now.saturating_duration_since(granted_at).as_secs_f64();
+        self.mean_start_delay_s += (start_delay_s - self.mean_start_delay_s) * RUN_AVERAGE_WEIGHT;
+        // A run with an estimate of zero would be overdue at once, which says nothing about the target.
+        if let Some(run_time) = self.estimate(now, work).filter(|time| !time.is_zero()) {
+            self.overdue_runs.insert(OverdueRun {
+                overdue_at: now + run_time * OVERDUE_FACTOR,
+                started_at: now,
+                id,
+            });
         }
     }
 
-    /// A run ended.
-    pub fn end(&mut self, now: Instant, id: Id, since: Instant, work: u64) {
-        self.overdue.retain(|overdue| overdue.id != id);
-        let took = now.saturating_duration_since(since).as_secs_f64();
-        let evenly = 1.0 / f64::from(self.learnt.saturating_add(1));
-        let weight = if self.learnt == 0 { 1.0 } else { WEIGHT };
-        self.run += (took - self.run) * weight;
-        let weight = UNIT_WEIGHT.max(evenly);
-        self.squares += (took * took - self.squares) * weight;
-        self.products += (took * work.max(1) as f64 - self.products) * weight;
-        self.learnt = self.learnt.saturating_add(1);
-        if self.learnt >= LEARNT {
-            self.best = self.best.min(self.unit());
+    /// Records that a run ended, with its start time and its estimated work.
+    pub fn end(&mut self, now: Instant, id: Id, started_at: Instant, work: u64) {
+        self.overdue_runs.retain(|overdue| overdue.id != id);
+        let run_time_s = now.saturating_duration_since(started_at).as_secs_f64();
+        let equal_weight = 1.0 / f64::from(self.ended_runs.saturating_add(1));
+        let weight = if self.ended_runs == 0 { 1.0 } else { RUN_AVERAGE_WEIGHT };
+        self.mean_run_time_s += (run_time_s - self.mean_run_time_s) * weight;
+        let weight = UNIT_TIME_AVERAGE_WEIGHT.max(equal_weight);
+        self.mean_squared_run_time +=
+            (run_time_s * run_time_s - self.mean_squared_run_time) * weight;
+        self.mean_run_time_times_work +=
+            (run_time_s * work.max(1) as f64 - self.mean_run_time_times_work) * weight;
+        self.ended_runs = self.ended_runs.saturating_add(1);
+        if self.ended_runs >= MIN_ENDED_RUNS {
+            self.best_unit_time_s = self.best_unit_time_s.min(self.unit_time_s());
         }
-        self.heard = Some(now);
+        self.last_ended_at = Some(now);
     }
 
-    /// Time that some work takes once it runs; `None` while too little is known.
+    /// Returns the estimated run time of some work; `None` until [`MIN_ENDED_RUNS`] runs have ended.
     pub fn estimate(&self, now: Instant, work: u64) -> Option<Duration> {
-        if self.learnt < LEARNT {
+        if self.ended_runs < MIN_ENDED_RUNS {
             return None;
         }
-        let silent = self.heard.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let halvings = silent.as_secs_f64() / HALF_LIFE.as_secs_f64();
-        let believed = self.best + (self.unit() - self.best) * 0.5_f64.powf(halvings);
-        let unit = believed.max(self.unit_of_overdue(now));
-        Some(Duration::from_secs_f64(unit * work as f64))
+        let since_last_end =
+            self.last_ended_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let halvings = since_last_end.as_secs_f64() / SLOWDOWN_HALF_LIFE.as_secs_f64();
+        let decayed_unit_time_s = self.best_unit_time_s
+            + (self.unit_time_s() - self.best_unit_time_s) * 0.5_f64.powf(halvings);
+        let unit_time_s = decayed_unit_time_s.max(self.unit_time_of_overdue_run_s(now));
+        Some(Duration::from_secs_f64(unit_time_s * work as f64))
     }
 
-    /// Average time of a decode step, of which a prompt counts as a part; `None` while too little is
-    /// known.
-    pub fn step(&self) -> Option<Duration> {
-        let step = Duration::from_secs_f64(self.unit() * STEP as f64);
-        (self.learnt >= LEARNT).then_some(step)
+    /// Returns the average time of one decode step, with prompt work converted to decode steps; `None`
+    /// until [`MIN_ENDED_RUNS`] runs have ended.
+    pub fn step_time(&self) -> Option<Duration> {
+        let step_time = Duration::from_secs_f64(self.unit_time_s() * DECODE_STEP_WORK as f64);
+        (self.ended_runs >= MIN_ENDED_RUNS).then_some(step_time)
     }
 
-    /// Average time that a run takes.
-    pub fn run(&self) -> Duration {
-        Duration::from_secs_f64(self.run)
+    /// Returns the average run time; zero before the first run has ended.
+    pub fn mean_run_time(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_run_time_s)
     }
 
-    /// Grants beyond the slots that keep a target busy while grants travel to their start.
-    pub fn ahead(&self, slots: usize) -> usize {
-        if self.learnt < LEARNT || slots == 1 {
+    /// Returns how many grants beyond the slots compensate for slots that are idle between a grant and
+    /// its start; 0 until [`MIN_ENDED_RUNS`] runs have ended, and for a target with one slot.
+    pub fn extra_grants(&self, slots: usize) -> usize {
+        if self.ended_runs < MIN_ENDED_RUNS || slots == 1 {
             return 0;
         }
-        let idle = slots as f64 * self.lead / self.run.max(self.lead).max(f64::MIN_POSITIVE);
-        idle.ceil() as usize
+        let idle_slots = slots as f64 * self.mean_start_delay_s
+            / self.mean_run_time_s.max(self.mean_start_delay_s).max(f64::MIN_POSITIVE);
+        idle_slots.ceil() as usize
     }
 
-    /// Seconds for a unit of work. The time is what was measured and the work what callers expected, so the
-    /// work is regressed on the time: neither short runs, whose time is their prompt's, nor a long one that
-    /// was broken off weigh much.
-    fn unit(&self) -> f64 {
-        if self.products > 0.0 { self.squares / self.products } else { 0.0 }
+    /// Returns the time of a unit of work, in seconds; zero before the first run has ended. The time of a
+    /// run is measured while its work is the caller's estimate, so the work is regressed on the time. This
+    /// gives little weight to short runs, whose time is mostly that of the prompt, and to long requests that
+    /// were cancelled early.
+    fn unit_time_s(&self) -> f64 {
+        if self.mean_run_time_times_work > 0.0 {
+            self.mean_squared_run_time / self.mean_run_time_times_work
+        } else {
+            0.0
+        }
     }
 
-    /// The longest overdue run says how slow the target is now.
-    fn unit_of_overdue(&self, now: Instant) -> f64 {
-        let Some(overdue) = self.overdue.first().filter(|overdue| overdue.at <= now) else {
+    /// Returns a lower bound of the current time of a unit of work, in seconds, from the run that has been
+    /// overdue for the longest time; zero if no run is overdue.
+    fn unit_time_of_overdue_run_s(&self, now: Instant) -> f64 {
+        let Some(overdue) = self.overdue_runs.first().filter(|overdue| overdue.overdue_at <= now)
+        else {
             return 0.0;
         };
-        let expected = (overdue.at - overdue.since).as_secs_f64() / f64::from(OVERDUE);
-        let age = now.saturating_duration_since(overdue.since).as_secs_f64();
-        self.unit() * age / expected.max(f64::MIN_POSITIVE)
+        let expected_s =
+            (overdue.overdue_at - overdue.started_at).as_secs_f64() / f64::from(OVERDUE_FACTOR);
+        let run_time_so_far_s = now.saturating_duration_since(overdue.started_at).as_secs_f64();
+        self.unit_time_s() * run_time_so_far_s / expected_s.max(f64::MIN_POSITIVE)
     }
 }
--- a/components/scheduler/src/agent/queue.rs
+++ b/components/scheduler/src/agent/queue.rs
@@ -1,4 +1,5 @@
-//! Waiting reservations: highest tier first, then by deadline in one order or the other, then by arrival.
+//! Queue of waiting reservations, sorted by tier (highest first), then by deadline (earliest or latest
+//! first, as configured), then by arrival.
 
 use std::{
     cmp::Reverse,
@@ -11,151 +12,164 @@
     reservation::{Ask, BlockHash, Id},
 };
 
-/// Place of a reservation in the queue.
+/// Sort key of a reservation in the queue. Keys are unique, since each has its own arrival number.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Order {
+pub struct QueueKey {
     rank: Rank,
-    due: Due,
+    deadline_order: DeadlineOrder,
     arrival: u64,
 }
 
-/// Place within a tier.
+/// Sort key within a tier. One queue uses one of the variants only.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Due {
+enum DeadlineOrder {
     /// The earliest deadline first.
-    Earliest(Instant),
+    EarliestFirst(Instant),
     /// The latest deadline first.
-    Latest(Reverse<Instant>),
+    LatestFirst(Reverse<Instant>),
 }
 
-/// A reservation that waits.
+/// A reservation that waits for a grant.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Waiting {
-    /// The reservation.
+pub struct WaitingReservation {
+    /// Identifier of the reservation.
     pub id: Id,
-    /// Its place.
-    pub order: Order,
-    /// Its tier's rank.
+    /// Sort key in the queue.
+    pub queue_key: QueueKey,
+    /// Rank of the reservation's tier; a lower number is a higher tier.
     pub rank: Rank,
-    /// When its answer is due.
+    /// When the whole answer is due.
     pub deadline: Instant,
-    /// When it must have started to be answered in time.
-    pub latest: Instant,
-    /// Tokens that it will hold.
+    /// Latest start time at which the answer can still meet the deadline.
+    pub latest_start: Instant,
+    /// Tokens that the request holds while it runs: its prompt and its maximum output.
     pub tokens: u64,
-    /// Work that it will be, in the units of the pace.
+    /// Estimated work of the request, in the units of `pace::DECODE_STEP_WORK`.
     pub work: u64,
-    /// Its prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks.
     pub prefix: Vec<BlockHash>,
 }
 
-/// The queue.
+/// Waiting reservations in queue order.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    /// Whether the latest deadline of a tier goes first.
-    newest: bool,
-    waiting: BTreeMap<Order, Waiting>,
-    /// The same places by the time when they become hopeless.
-    latest: BTreeSet<Latest>,
-    /// Work that waits, by rank; none is 0.
-    work: BTreeMap<Rank, u64>,
-    /// Counts reservations, so that no two have the same place.
+    /// Whether the latest deadline in a tier comes first, instead of the earliest.
+    is_latest_deadline_first: bool,
+    waiting: BTreeMap<QueueKey, WaitingReservation>,
+    /// One entry for each waiting reservation, sorted by the latest start that can meet its deadline.
+    latest_starts: BTreeSet<LatestStart>,
+    /// Sum of the waiting work by rank; 0 for a rank whose reservations have all left the queue.
+    work_by_rank: BTreeMap<Rank, u64>,
+    /// Number of reservations added so far; makes the sort keys unique.
     arrivals: u64,
 }
 
+/// Latest start time at which a reservation can still meet its deadline; sorted by time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Latest {
+struct LatestStart {
     at: Instant,
-    order: Order,
+    queue_key: QueueKey,
 }
 
-/// Gives an empty queue, in which the latest deadline of a tier goes first or the earliest.
-pub fn open(newest: bool) -> Queue {
-    Queue { newest, ..Queue::default() }
+/// Returns an empty queue, in which the latest or else the earliest deadline of a tier comes first.
+pub fn new(is_latest_deadline_first: bool) -> Queue {
+    Queue { is_latest_deadline_first, ..Queue::default() }
 }
 
 impl Queue {
-    /// Reservations that wait.
+    /// Returns the number of waiting reservations.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Adds a reservation that is some work and takes a time to run.
-    pub fn push(&mut self, now: Instant, ask: &Ask, work: u64, run: Duration) -> Order {
+    /// Adds a reservation with its estimated work and the least time that it takes to run. Returns the
+    /// reservation's sort key.
+    pub fn push(
+        &mut self,
+        now: Instant,
+        ask: &Ask,
+        work: u64,
+        least_run_time: Duration,
+    ) -> QueueKey {
         self.arrivals += 1;
         let deadline = now + ask.remaining;
-        let due =
-            if self.newest { Due::Latest(Reverse(deadline)) } else { Due::Earliest(deadline) };
-        let order = Order { rank: ask.rank, due, arrival: self.arrivals };
-        let waiting = Waiting {
+        let deadline_order = if self.is_latest_deadline_first {
+            DeadlineOrder::LatestFirst(Reverse(deadline))
+        } else {
+            DeadlineOrder::EarliestFirst(deadline)
+        };
+        let queue_key = QueueKey { rank: ask.rank, deadline_order, arrival: self.arrivals };
+        let waiting = WaitingReservation {
             id: ask.id,
-            order,
+            queue_key,
             rank: ask.rank,
             deadline,
-            latest: deadline - run.min(ask.remaining),
+            latest_start: deadline - least_run_time.min(ask.remaining),
             tokens: u64::from(ask.prefill) + u64::from(ask.decode),
             work,
             prefix: ask.prefix.clone(),
         };
-        self.latest.insert(Latest { at: waiting.latest, order });
-        self.waiting.insert(order, waiting);
-        *self.work.entry(ask.rank).or_default() += work;
-        order
+        self.latest_starts.insert(LatestStart { at: waiting.latest_start, queue_key });
+        self.waiting.insert(queue_key, waiting);
+        *self.work_by_rank.entry(ask.rank).or_default() += work;
+        queue_key
     }
 
-    /// The best reservation.
-    pub fn first(&self) -> Option<&Waiting> {
+    /// Returns the first reservation in queue order.
+    pub fn first(&self) -> Option<&WaitingReservation> {
         self.waiting.first_key_value().map(|(_, waiting)| waiting)
     }
 
-    /// All reservations, best first.
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    /// Returns an iterator over all reservations in queue order.
+    pub fn iter(&self) -> impl Iterator<Item = &WaitingReservation> {
         self.waiting.values()
     }
 
-    /// The worst reservation: the lowest tier, there the latest deadline.
-    pub fn last(&self) -> Option<&Waiting> {
+    /// Returns the last reservation in queue order, which belongs to the lowest waiting tier.
+    pub fn last(&self) -> Option<&WaitingReservation> {
         self.waiting.last_key_value().map(|(_, waiting)| waiting)
     }
 
-    /// Takes the best reservation out.
-    pub fn pop(&mut self) -> Option<Waiting> {
-        let order = *self.waiting.first_key_value()?.0;
-        self.remove(&order)
+    /// Removes and returns the first reservation in queue order.
+    pub fn pop(&mut self) -> Option<WaitingReservation> {
+        let queue_key = *self.waiting.first_key_value()?.0;
+        self.remove(&queue_key)
     }
 
-    /// Takes the worst reservation out: the lowest tier, there the latest deadline.
-    pub fn pop_worst(&mut self) -> Option<Waiting> {
-        let order = *self.waiting.last_key_value()?.0;
-        self.remove(&order)
+    /// Removes and returns the last reservation in queue order, which belongs to the lowest waiting tier.
+    pub fn pop_last(&mut self) -> Option<WaitingReservation> {
+        let queue_key = *self.waiting.last_key_value()?.0;
+        self.remove(&queue_key)
     }
 
-    /// Takes out a reservation that can no longer be answered in time.
-    pub fn pop_late(&mut self, now: Instant) -> Option<Waiting> {
-        let latest = *self.latest.first()?;
-        if latest.at > now {
+    /// Removes and returns a reservation that can no longer be answered before its deadline; `None` if
+    /// there is none.
+    pub fn pop_past_latest_start(&mut self, now: Instant) -> Option<WaitingReservation> {
+        let latest_start = *self.latest_starts.first()?;
+        if latest_start.at > now {
             return None;
         }
-        self.remove(&latest.order)
+        self.remove(&latest_start.queue_key)
     }
 
-    /// Takes the reservation at a place out.
-    pub fn remove(&mut self, order: &Order) -> Option<Waiting> {
-        let waiting = self.waiting.remove(order)?;
-        self.latest.remove(&Latest { at: waiting.latest, order: *order });
-        if let Some(work) = self.work.get_mut(&waiting.rank) {
+    /// Removes and returns the reservation with this sort key; `None` if there is none.
+    pub fn remove(&mut self, queue_key: &QueueKey) -> Option<WaitingReservation> {
+        let waiting = self.waiting.remove(queue_key)?;
+        self.latest_starts.remove(&LatestStart { at: waiting.latest_start, queue_key: *queue_key });
+        if let Some(work) = self.work_by_rank.get_mut(&waiting.rank) {
             *work -= waiting.work;
         }
         Some(waiting)
     }
 
-    /// When the next reservation becomes hopeless.
-    pub fn next_deadline(&self) -> Option<Instant> {
-        self.latest.first().map(|latest| latest.at)
+    /// Returns the earliest time at which a waiting reservation can no longer be answered before its
+    /// deadline; `None` if the queue is empty.
+    pub fn next_latest_start(&self) -> Option<Instant> {
+        self.latest_starts.first().map(|latest_start| latest_start.at)
     }
 
-    /// Work that waits in a tier and in those above.
-    pub fn work(&self, rank: Rank) -> u64 {
-        self.work.range(..=rank).map(|(_, work)| work).sum()
+    /// Returns the sum of the work that waits in a tier and in higher tiers.
+    pub fn work_at_or_above(&self, rank: Rank) -> u64 {
+        self.work_by_rank.range(..=rank).map(|(_, work)| work).sum()
     }
 }
--- a/components/scheduler/src/agent/shares.rs
+++ b/components/scheduler/src/agent/shares.rs
@@ -1,43 +1,44 @@
-//! How much of the target's work each tier had lately.
+//! Share of each tier in the target's recently granted work.
 
 use std::collections::BTreeMap;
 
 use model::id::Rank;
 
-/// Share of the newest grant in the averages.
-const WEIGHT: f64 = 1.0 / 64.0;
+/// Weight of the newest grant: each grant reduces the sums of earlier work by this share.
+const NEWEST_GRANT_WEIGHT: f64 = 1.0 / 64.0;
 
-/// Work granted lately, by rank; older grants count less and less.
+/// Granted work by rank, with exponential decay: the older a grant, the less it counts.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
-    work: BTreeMap<Rank, f64>,
+pub struct TierShares {
+    work_by_rank: BTreeMap<Rank, f64>,
 }
 
-impl Shares {
-    /// Work was granted.
+impl TierShares {
+    /// Records that some work was granted to a tier.
     pub fn grant(&mut self, rank: Rank, work: u64) {
-        for sum in self.work.values_mut() {
-            *sum *= 1.0 - WEIGHT;
+        for granted in self.work_by_rank.values_mut() {
+            *granted *= 1.0 - NEWEST_GRANT_WEIGHT;
         }
-        *self.work.entry(rank).or_default() += work as f64;
+        *self.work_by_rank.entry(rank).or_default() += work as f64;
     }
 
-    /// Share of one tier, between 0 and 1; 1 before any work was granted.
-    pub fn of(&self, rank: Rank) -> f64 {
-        let all: f64 = self.work.values().sum();
-        if all == 0.0 {
+    /// Returns the share of one tier in the granted work, from 0 to 1; 1 before any work was granted.
+    pub fn share_of(&self, rank: Rank) -> f64 {
+        let total: f64 = self.work_by_rank.values().sum();
+        if total == 0.0 {
             return 1.0;
         }
-        self.work.get(&rank).copied().unwrap_or_default() / all
+        self.work_by_rank.get(&rank).copied().unwrap_or_default() / total
     }
 
-    /// Share of the tiers above one, between 0 and 1.
-    pub fn above(&self, rank: Rank) -> f64 {
-        let all: f64 = self.work.values().sum();
-        if all == 0.0 {
+    /// Returns the share of all tiers above one in the granted work, from 0 to 1; 0 before any work was
+    /// granted.
+    pub fn share_above(&self, rank: Rank) -> f64 {
+        let total: f64 = self.work_by_rank.values().sum();
+        if total == 0.0 {
             return 0.0;
         }
-        let above: f64 = self.work.range(..rank).map(|(_, sum)| sum).sum();
-        above / all
+        let above: f64 = self.work_by_rank.range(..rank).map(|(_, granted)| granted).sum();
+        above / total
     }
 }
--- a/components/scheduler/src/agent/suspects.rs
+++ b/components/scheduler/src/agent/suspects.rs
@@ -1,4 +1,5 @@
-//! Bodies that may have crashed the target: they run alone, and not again after a second crash.
+//! Isolation of request bodies that are suspected of crashing the target: a suspect runs alone, and is
+//! banned if the target crashes again while it runs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,96 +8,99 @@
 
 use model::{id::Fingerprint, reservation::Id, suspect::Body};
 
-/// Time for which an agent denies a body that crashed its target while it ran alone; by then the
-/// entries have read the record.
-pub const BAR: Duration = Duration::from_secs(60);
+/// Time for which an agent denies a body that crashed the target while running alone. After this time
+/// the entries have read the crash record and reject the body themselves.
+pub const BAN_DURATION: Duration = Duration::from_secs(60);
 
-/// What the agent's reducer knows of bodies.
+/// Bodies of reservations, and the suspected and banned ones among them.
 #[derive(Clone, Debug, Default)]
-pub struct Suspects {
-    /// Bodies of live reservations.
+pub struct SuspectBodies {
+    /// Bodies of the reservations that haven't ended.
     bodies: BTreeMap<Id, Body>,
-    /// The reservation, granted or running, beside which nothing else may be granted.
-    alone: Option<Id>,
-    /// Bodies of runs whose connection broke, until it is known whether the target died.
-    lost: BTreeMap<Id, Body>,
-    /// Runs that a crash was already reported for.
-    reported: BTreeSet<Id>,
-    /// Bodies that are denied, and until when.
-    barred: BTreeMap<Fingerprint, Instant>,
+    /// Granted or running reservation of a suspected body; while it is set, nothing else is granted.
+    exclusive: Option<Id>,
+    /// Bodies of runs whose connection broke, kept until it is known whether the target crashed.
+    broken_runs: BTreeMap<Id, Body>,
+    /// Runs that are already part of a crash record.
+    reported_runs: BTreeSet<Id>,
+    /// Banned bodies, with the time at which each ban ends.
+    bans: BTreeMap<Fingerprint, Instant>,
 }
 
-impl Suspects {
-    /// Notes the body of a new reservation.
+impl SuspectBodies {
+    /// Records the body of a new reservation.
     pub fn add(&mut self, id: Id, body: Body) {
         self.bodies.insert(id, body);
     }
 
-    /// Forgets an ended reservation.
+    /// Removes an ended reservation.
     pub fn remove(&mut self, id: Id) {
         self.bodies.remove(&id);
-        self.reported.remove(&id);
-        if self.alone == Some(id) {
-            self.alone = None;
+        self.reported_runs.remove(&id);
+        if self.exclusive == Some(id) {
+            self.exclusive = None;
         }
     }
 
-    /// Whether a reservation may be granted beside as many others.
+    /// Returns whether a reservation may be granted while `held` others are granted or running: not
+    /// while a suspect holds a grant, and a suspect only when `held` is 0.
     pub fn may_grant(&self, id: Id, held: usize) -> bool {
-        self.alone.is_none() && (held == 0 || !self.is_suspect(id))
+        self.exclusive.is_none() && (held == 0 || !self.is_suspect(id))
     }
 
-    /// Notes that a reservation was granted.
-    pub fn grant(&mut self, id: Id) {
+    /// Records that a reservation was granted. No other reservation is granted until a suspect ends.
+    pub fn add_grant(&mut self, id: Id) {
         if self.is_suspect(id) {
-            self.alone = Some(id);
+            self.exclusive = Some(id);
         }
     }
 
-    /// The body of a run that ended whole, if it ran alone.
-    pub fn cleared(&self, id: Id) -> Option<Fingerprint> {
-        let body = self.bodies.get(&id).filter(|_| self.alone == Some(id))?;
+    /// Returns the body of a run if it is the suspect that runs alone.
+    pub fn body_run_alone(&self, id: Id) -> Option<Fingerprint> {
+        let body = self.bodies.get(&id).filter(|_| self.exclusive == Some(id))?;
         Some(body.fingerprint)
     }
 
-    /// Notes that a run's connection broke. Must come before its end.
-    pub fn lose(&mut self, id: Id) {
-        if let Some(body) = self.bodies.get(&id).filter(|_| !self.reported.contains(&id)) {
-            self.lost.insert(id, *body);
+    /// Records that a run's connection broke. Must be called before `remove`, which drops the body.
+    pub fn add_broken_run(&mut self, id: Id) {
+        if let Some(body) = self.bodies.get(&id).filter(|_| !self.reported_runs.contains(&id)) {
+            self.broken_runs.insert(id, *body);
         }
     }
 
-    /// The target lives: the broken connections had another cause.
-    pub fn acquit(&mut self) {
-        self.lost.clear();
+    /// Drops the runs whose connection broke, once the target is known not to have crashed.
+    pub fn clear_broken_runs(&mut self) {
+        self.broken_runs.clear();
     }
 
-    /// The target died: the bodies that it ran, and whether the only one of them ran alone.
-    pub fn blame(&mut self, now: Instant, running: &[Id]) -> (Vec<Fingerprint>, bool) {
-        let fresh: Vec<Id> =
-            running.iter().copied().filter(|id| !self.reported.contains(id)).collect();
-        self.reported.extend(&fresh);
-        let running = fresh.iter().filter_map(|id| self.bodies.get(id));
-        let lost = std::mem::take(&mut self.lost);
-        let bodies: Vec<Body> = lost
+    /// Records a crash of the target while `running` ran. Returns the bodies that may have caused the
+    /// crash and are in no earlier record, and whether there is exactly one, which ran alone as a
+    /// suspect. That one is banned for [`BAN_DURATION`].
+    pub fn record_crash(&mut self, now: Instant, running: &[Id]) -> (Vec<Fingerprint>, bool) {
+        let unreported: Vec<Id> =
+            running.iter().copied().filter(|id| !self.reported_runs.contains(id)).collect();
+        self.reported_runs.extend(&unreported);
+        let running = unreported.iter().filter_map(|id| self.bodies.get(id));
+        let broken_runs = std::mem::take(&mut self.broken_runs);
+        let bodies: Vec<Body> = broken_runs
             .iter()
-            .filter(|(id, _)| !fresh.contains(id))
+            .filter(|(id, _)| !unreported.contains(id))
             .map(|(_, body)| body)
             .chain(running)
             .copied()
             .collect();
         let alone = matches!(bodies.as_slice(), [only] if only.alone);
         if alone {
-            self.barred.extend(bodies.iter().map(|body| (body.fingerprint, now + BAR)));
+            self.bans.extend(bodies.iter().map(|body| (body.fingerprint, now + BAN_DURATION)));
         }
         (bodies.iter().map(|body| body.fingerprint).collect(), alone)
     }
 
-    /// How long a reservation's body is still denied.
-    pub fn barred(&mut self, now: Instant, id: Id) -> Option<Duration> {
-        self.barred.retain(|_, until| *until > now);
+    /// Returns the remaining time of the ban on a reservation's body; `None` if it isn't banned.
+    pub fn remaining_ban(&mut self, now: Instant, id: Id) -> Option<Duration> {
+        self.bans.retain(|_, until| *until > now);
         let body = self.bodies.get(&id)?;
-        self.barred.get(&body.fingerprint).map(|until| *until - now)
+        self.bans.get(&body.fingerprint).map(|until| *until - now)
     }
 
     fn is_suspect(&self, id: Id) -> bool {
