--- a/components/scheduler/src/order.rs
+++ b/components/scheduler/src/order.rs
@@ -1,9 +1,12 @@
-//! Orders to a target's engine: desired against actual, under a fencing number and a lease.
+//! Reducer that brings a target's engine from its actual to its desired setup by orders, protected by a
+//! fencing number and a lease.
 //!
-//! The fencing number is the offset of this run's join in the membership stream. An engine that
-//! checks it refuses the orders of an earlier run. For one that doesn't, an order is given only
-//! under a lease: this run was still the newest member at a time less than [`LEASE`] ago. A later
-//! run waits that long after it has read its own join back.
+//! A run is one process of the target's agent; only the newest run may send orders. The fencing number is
+//! the offset of the run's join record in the membership stream. An engine that checks fencing numbers
+//! rejects the orders of earlier runs. For an engine that doesn't, an order is sent only under a lease:
+//! this run must have been confirmed as the newest member less than [`LEASE_DURATION`] ago. A later run
+//! sends no order until the leases of earlier runs have expired: it waits [`LEASE_DURATION`] plus
+//! [`CLOCK_DRIFT_MARGIN`] after it has read its own join record back.
 
 use std::time::{Duration, Instant};
 
@@ -12,146 +15,161 @@
     setup::{Order, Setup},
 };
 
-/// Time for which a confirmation that this run is the newest counts.
-pub const LEASE: Duration = Duration::from_secs(10);
-/// What a later run waits beyond that, for clocks that run at unlike speed.
-pub const DRIFT: Duration = Duration::from_millis(500);
-/// Time between two readings of the engine's setup.
-pub const READ_PERIOD: Duration = Duration::from_secs(5);
-/// Wait after a reading or an order that failed.
-pub const RETRY: Duration = Duration::from_secs(1);
+/// Duration of the lease, counted from the start of the call that confirmed this run as the newest.
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
+/// Time that a later run waits in addition to [`LEASE_DURATION`], because clocks run at different speeds.
+pub const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(500);
+/// Time between two successful reads of the engine's setup.
+pub const SETUP_READ_PERIOD: Duration = Duration::from_secs(5);
+/// Delay before the engine's setup is read again after a failed read or order.
+pub const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What happened.
+/// Input of the reducer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The membership stream was read to its end, by a call that began at `asked`.
+    /// The membership stream was read to its end, which shows whether this run is the newest member.
     Confirmed {
-        /// When the call began.
+        /// When the call that read the stream began.
         asked: Instant,
-        /// Fencing number of this run, if it is a member.
+        /// Fencing number of this run; `None` if this run isn't the target's current member.
         fence: Option<Offset>,
     },
-    /// The operator wants this of the target; `None` where it is left alone.
+    /// The operator's desired setup of the target; `None` if the engine's setup isn't managed.
     Desired(Option<Setup>),
-    /// The engine told its setup, or didn't.
+    /// A read of the engine's setup finished; `None` if the read failed.
     Read(Option<Setup>),
-    /// An order was carried out, refused, lost, or not sent.
+    /// An order was executed, rejected, lost, or not sent.
     Ended {
-        /// Whether the engine said that it was carried out.
+        /// Whether the engine confirmed that it executed the order.
         done: bool,
     },
-    /// Time has passed.
+    /// Time has passed and nothing else has happened; due at the time returned by [`next_wake`].
     Tick,
 }
 
-/// What has to be done.
+/// Output of the reducer, which the caller carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Ask the engine for its setup.
+    /// Read the engine's setup; the result comes back as [`Event::Read`].
     Read,
-    /// Give an order to the engine.
+    /// Send an order to the engine; the result comes back as [`Event::Ended`].
     Send {
-        /// What to do.
+        /// Change that the engine must make.
         order: Order,
-        /// Under this fencing number.
+        /// Fencing number of this run, sent with the order.
         fence: Offset,
-        /// Not from this time on, checked just before it is written; `None` where the engine
-        /// checks the fencing number.
+        /// End of the lease: at or after this time the order must not be sent, which the caller checks
+        /// just before writing it. `None` if the engine checks the fencing number.
         until: Option<Instant>,
     },
 }
 
-/// Everything that orders are decided from.
+/// State of the reducer.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine rejects fencing numbers below the highest that it has seen.
     checks_fence: bool,
-    member: Member,
+    membership: Membership,
+    /// The operator's desired setup; `None` if the engine's setup isn't managed.
     desired: Option<Setup>,
-    /// What the engine last told; `None` where it has to be asked.
+    /// Setup that the engine last reported; `None` if it must be read first, as after each order.
     actual: Option<Setup>,
-    /// Whether an effect is being carried out; there is one at a time.
-    busy: bool,
-    /// When the engine is asked or ordered next, at the earliest.
-    next: Instant,
+    /// Whether a read or an order is in flight; there is at most one.
+    is_call_in_flight: bool,
+    /// Earliest time of the next read of the setup.
+    next_read_at: Instant,
 }
 
+/// Membership of this run of the agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Member {
-    /// It hasn't joined yet.
+enum Membership {
+    /// This run hasn't read its own join record yet.
     Joining,
-    /// It joined; it may order from `from` on and before `until`.
-    Joined { fence: Offset, from: Instant, until: Instant },
-    /// A later run took its place, or it left: it orders nothing any more.
+    /// This run has joined. Without a check of the fencing number by the engine it may send orders
+    /// from `orders_from` on and before `lease_until`.
+    Joined { fence: Offset, orders_from: Instant, lease_until: Instant },
+    /// A later run has joined, or this run has left; this run sends no orders any more.
     Gone,
 }
 
-/// Gives the state of a run that hasn't joined.
+/// Returns the initial state of a run that hasn't joined.
 pub fn open(now: Instant, checks_fence: bool) -> State {
     State {
         checks_fence,
-        member: Member::Joining,
+        membership: Membership::Joining,
         desired: None,
         actual: None,
-        busy: false,
-        next: now,
+        is_call_in_flight: false,
+        next_read_at: now,
     }
 }
 
-/// Takes one event in and gives what has to be done about it.
+/// Applies one event to the state and returns the effect that the caller must carry out, if any.
 pub fn reduce(state: &mut State, now: Instant, event: Event) -> Option<Effect> {
     match event {
         Event::Confirmed { asked, fence } => state.confirm(now, asked, fence),
         Event::Desired(desired) => state.desired = desired,
         Event::Read(actual) => {
-            state.busy = false;
-            state.next = now + if actual.is_some() { READ_PERIOD } else { RETRY };
+            state.is_call_in_flight = false;
+            state.next_read_at =
+                now + if actual.is_some() { SETUP_READ_PERIOD } else { RETRY_DELAY };
             state.actual = actual;
         }
         Event::Ended { done } => {
-            state.busy = false;
-            // Whatever became of it, the engine's own word decides what comes next.
+            state.is_call_in_flight = false;
+            // Whatever the result of the order, the setup is read again before the next order, since
+            // an order without a confirmation may have been executed too.
             state.actual = None;
-            state.next = if done { now } else { now + RETRY };
+            state.next_read_at = if done { now } else { now + RETRY_DELAY };
         }
         Event::Tick => {}
     }
-    state.act(now)
+    state.next_effect(now)
 }
 
-/// When the next `Event::Tick` is due.
+/// Returns when the caller must next send `Event::Tick`; `None` if no tick is needed.
 pub fn next_wake(state: &State) -> Option<Instant> {
-    if state.busy || state.desired.is_none() {
+    if state.is_call_in_flight || state.desired.is_none() {
         return None;
     }
-    match state.member {
-        Member::Joined { from, .. } if !state.checks_fence => Some(from.max(state.next)),
-        Member::Joined { .. } => Some(state.next),
-        Member::Joining | Member::Gone => None,
+    match state.membership {
+        Membership::Joined { orders_from, .. } if !state.checks_fence => {
+            Some(orders_from.max(state.next_read_at))
+        }
+        Membership::Joined { .. } => Some(state.next_read_at),
+        Membership::Joining | Membership::Gone => None,
     }
 }
 
 impl State {
     fn confirm(&mut self, now: Instant, asked: Instant, fence: Option<Offset>) {
-        self.member = match (self.member, fence) {
-            (Member::Joining, None) => Member::Joining,
-            (Member::Joining, Some(fence)) => {
-                Member::Joined { fence, from: now + LEASE + DRIFT, until: asked + LEASE }
-            }
-            (Member::Joined { fence, from, until }, Some(newest)) if newest == fence => {
-                Member::Joined { fence, from, until: until.max(asked + LEASE) }
+        self.membership = match (self.membership, fence) {
+            (Membership::Joining, None) => Membership::Joining,
+            (Membership::Joining, Some(fence)) => Membership::Joined {
+                fence,
+                orders_from: now + LEASE_DURATION + CLOCK_DRIFT_MARGIN,
+                lease_until: asked + LEASE_DURATION,
+            },
+            (Membership::Joined { fence, orders_from, lease_until }, Some(newest))
+                if newest == fence =>
+            {
+                Membership::Joined {
+                    fence,
+                    orders_from,
+                    lease_until: lease_until.max(asked + LEASE_DURATION),
+                }
             }
-            (Member::Joined { .. } | Member::Gone, _) => Member::Gone,
+            (Membership::Joined { .. } | Membership::Gone, _) => Membership::Gone,
         }
     }
 
-    fn act(&mut self, now: Instant) -> Option<Effect> {
+    fn next_effect(&mut self, now: Instant) -> Option<Effect> {
         let desired = self.desired.as_ref()?;
-        let Member::Joined { fence, from, until } = self.member else {
+        let Membership::Joined { fence, orders_from, lease_until } = self.membership else {
             return None;
         };
-        let may_order = self.checks_fence || (from <= now && now < until);
-        if self.busy {
+        let may_order = self.checks_fence || (orders_from <= now && now < lease_until);
+        if self.is_call_in_flight {
             return None;
         }
         let order = match &self.actual {
@@ -160,12 +178,12 @@
         };
         let effect = match order {
             Some(order) => {
-                Effect::Send { order, fence, until: (!self.checks_fence).then_some(until) }
+                Effect::Send { order, fence, until: (!self.checks_fence).then_some(lease_until) }
             }
-            None if self.next <= now => Effect::Read,
+            None if self.next_read_at <= now => Effect::Read,
             None => return None,
         };
-        self.busy = true;
+        self.is_call_in_flight = true;
         Some(effect)
     }
 }
