--- a/components/scheduler/tests/agent_admission.rs
+++ b/components/scheduler/tests/agent_admission.rs
@@ -1,6 +1,7 @@
-//! The agent's reducer where entry processes call the target themselves.
+//! Tests of the agent's reducer as admission control: entry processes send requests directly to the target,
+//! after a grant or, as far as their share allows, without a reservation.
 //!
-//! Pattern: several tiers that together ask for more than the target has, for long.
+//! Workload: sustained overload, in which several tiers together demand more than the target's capacity.
 
 use std::time::{Duration, Instant};
 
@@ -14,14 +15,15 @@
 use uuid::Uuid;
 
 const MS: Duration = Duration::from_millis(1);
-const RUN: Duration = Duration::from_millis(100);
+const RUN_TIME: Duration = Duration::from_millis(100);
 
 fn open(slots: usize, policy: Policy) -> State {
     let room = Room { slots, tokens: u64::MAX, waiting: 1_000, grant: Duration::from_secs(1) };
     agent::open_with(room, policy)
 }
 
-fn policy() -> Policy {
+/// Returns the policy that the agent uses as admission control.
+fn admission_policy() -> Policy {
     Policy { floor: 0.05, newest: true, ..Policy::first() }
 }
 
@@ -29,7 +31,7 @@
     Id { request: Uuid::from_u128(request), attempt: 1 }
 }
 
-fn ask(request: u128, rank: Rank, remaining: Duration) -> Event {
+fn reserve(request: u128, rank: Rank, remaining: Duration) -> Event {
     Event::Reserve(Ask {
         id: id(request),
         rank,
@@ -42,131 +44,133 @@
     })
 }
 
-fn granted(effects: &[Effect]) -> Vec<Id> {
-    let granted = effects.iter().filter_map(|effect| match effect {
+fn granted_ids(effects: &[Effect]) -> Vec<Id> {
+    let ids = effects.iter().filter_map(|effect| match effect {
         Effect::Grant { id, .. } => Some(*id),
         _ => None,
     });
-    granted.collect()
+    ids.collect()
 }
 
-fn denied(effects: &[Effect]) -> Vec<(Id, Reason)> {
-    let denied = effects.iter().filter_map(|effect| match effect {
+fn denied_reasons(effects: &[Effect]) -> Vec<(Id, Reason)> {
+    let reasons = effects.iter().filter_map(|effect| match effect {
         Effect::Deny { id, denial } => Some((*id, denial.reason)),
         _ => None,
     });
-    denied.collect()
+    reasons.collect()
 }
 
+/// Requests must not wait for a target that accepts none until their deadline; other targets may be free.
 #[test]
-fn a_target_that_is_not_reached_keeps_nobody_waiting() {
+fn an_unreachable_target_denies_waiting_and_new_reservations() {
     let now = Instant::now();
-    let mut state = open(1, policy());
-    agent::reduce(&mut state, now, ask(1, 0, 1_000 * MS));
-    agent::reduce(&mut state, now, ask(2, 0, 1_000 * MS));
+    let mut state = open(1, admission_policy());
+    agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
+    agent::reduce(&mut state, now, reserve(2, 0, 1_000 * MS));
 
-    let lost = agent::reduce(&mut state, now, Event::Reached(false));
-    let meanwhile = agent::reduce(&mut state, now, ask(3, 0, 1_000 * MS));
+    let on_loss = agent::reduce(&mut state, now, Event::Reached(false));
+    let while_unreachable = agent::reduce(&mut state, now, reserve(3, 0, 1_000 * MS));
     agent::reduce(&mut state, now, Event::Ended(id(1)));
     agent::reduce(&mut state, now, Event::Cancel(id(1)));
     agent::reduce(&mut state, now, Event::Reached(true));
-    let after = agent::reduce(&mut state, now, ask(4, 0, 1_000 * MS));
+    let after_return = agent::reduce(&mut state, now, reserve(4, 0, 1_000 * MS));
 
-    assert_eq!(denied(&lost), [(id(2), Reason::NoTarget)]);
-    assert_eq!(denied(&meanwhile), [(id(3), Reason::NoTarget)]);
-    assert_eq!(granted(&after), [id(4)]);
+    assert_eq!(denied_reasons(&on_loss), [(id(2), Reason::NoTarget)]);
+    assert_eq!(denied_reasons(&while_unreachable), [(id(3), Reason::NoTarget)]);
+    assert_eq!(granted_ids(&after_return), [id(4)]);
 }
 
 #[test]
-fn what_others_have_at_the_target_takes_room() {
+fn requests_without_a_reservation_use_up_slots() {
     let now = Instant::now();
-    let mut state = open(2, policy());
+    let mut state = open(2, admission_policy());
 
     agent::reduce(&mut state, now, Event::Unreserved(2));
-    let full = agent::reduce(&mut state, now, ask(1, 0, 1_000 * MS));
-    let free = agent::reduce(&mut state, now, Event::Unreserved(1));
+    let while_full = agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
+    let with_free_slot = agent::reduce(&mut state, now, Event::Unreserved(1));
 
-    assert_eq!((granted(&full), granted(&free)), (vec![], vec![id(1)]));
+    assert_eq!((granted_ids(&while_full), granted_ids(&with_free_slot)), (vec![], vec![id(1)]));
 }
 
 #[test]
-fn the_slots_are_those_that_were_told_last() {
+fn more_slots_grant_waiting_reservations_at_once() {
     let now = Instant::now();
-    let mut state = open(1, policy());
+    let mut state = open(1, admission_policy());
     for request in 1..=4 {
-        agent::reduce(&mut state, now, ask(request, 0, 1_000 * MS));
+        agent::reduce(&mut state, now, reserve(request, 0, 1_000 * MS));
     }
 
-    let grown = agent::reduce(&mut state, now, Event::Sized(3));
+    let effects_of_growth = agent::reduce(&mut state, now, Event::Sized(3));
 
-    assert_eq!(granted(&grown).len(), 2);
+    assert_eq!(granted_ids(&effects_of_growth).len(), 2);
 }
 
-#[test_case(true => id(3); "the newest first")]
-#[test_case(false => id(2); "the earliest deadline first")]
-fn within_a_tier_goes(newest: bool) -> Id {
+#[test_case(true => id(3); "the latest deadline")]
+#[test_case(false => id(2); "the earliest deadline")]
+fn within_a_tier_the_first_grant_goes_to(is_latest_first: bool) -> Id {
     let now = Instant::now();
-    let mut state = open(1, Policy { newest, ..policy() });
-    agent::reduce(&mut state, now, ask(1, 0, 1_000 * MS));
-    agent::reduce(&mut state, now, ask(2, 0, 1_000 * MS));
-    agent::reduce(&mut state, now + 50 * MS, ask(3, 0, 1_000 * MS));
+    let mut state = open(1, Policy { newest: is_latest_first, ..admission_policy() });
+    agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
+    agent::reduce(&mut state, now, reserve(2, 0, 1_000 * MS));
+    agent::reduce(&mut state, now + 50 * MS, reserve(3, 0, 1_000 * MS));
 
     agent::reduce(&mut state, now + 50 * MS, Event::Start(id(1)));
-    let effects = agent::reduce(&mut state, now + RUN, Event::Ended(id(1)));
+    let effects = agent::reduce(&mut state, now + RUN_TIME, Event::Ended(id(1)));
 
-    granted(&effects)[0]
+    granted_ids(&effects)[0]
 }
 
-/// Plays 2,000 runs of 100 ms at a target with one slot, for which two tiers always wait; gives how many
-/// of each were granted, and how many of the lower while nothing of the higher waited.
-fn play(policy: Policy) -> [usize; 2] {
+/// Simulates 2,000 rounds of 100 ms at a target with one slot, while reservations of two tiers always wait.
+/// Returns the number of grants to the higher and to the lower tier.
+fn grants_under_overload(policy: Policy) -> [usize; 2] {
     let start = Instant::now();
     let mut state = open(1, policy);
-    let (mut times, mut running) = ([0; 2], None);
-    for turn in 0..2_000 {
-        let now = start + RUN * turn;
+    let (mut grants, mut running_id) = ([0; 2], None);
+    for round in 0..2_000 {
+        let now = start + RUN_TIME * round;
         let mut effects = Vec::new();
         for rank in 0..2 {
-            let request = u128::from(turn) * 2 + u128::from(rank);
-            effects.extend(agent::reduce(&mut state, now, ask(request, rank, 500 * MS)));
+            let request = u128::from(round) * 2 + u128::from(rank);
+            effects.extend(agent::reduce(&mut state, now, reserve(request, rank, 500 * MS)));
         }
-        if let Some(before) = running {
-            effects.extend(agent::reduce(&mut state, now, Event::Ended(before)));
+        if let Some(previous) = running_id {
+            effects.extend(agent::reduce(&mut state, now, Event::Ended(previous)));
         }
-        for granted in granted(&effects) {
-            agent::reduce(&mut state, now, Event::Start(granted));
-            times[(granted.request.as_u128() % 2) as usize] += 1;
-            running = Some(granted);
+        for granted_id in granted_ids(&effects) {
+            agent::reduce(&mut state, now, Event::Start(granted_id));
+            grants[(granted_id.request.as_u128() % 2) as usize] += 1;
+            running_id = Some(granted_id);
         }
     }
-    times
+    grants
 }
 
 #[test]
-fn a_lower_tier_gets_what_each_may_have_and_no_more() {
-    let [higher, lower] = play(policy());
+fn a_lower_tier_gets_its_guaranteed_share_and_no_more() {
+    let [higher, lower] = grants_under_overload(admission_policy());
 
-    let all = higher + lower;
-    // A twentieth, with as much beside it as one grant of 64 that are remembered may make.
-    assert!((all / 25..=all / 14).contains(&lower), "{higher} {lower}");
+    let total = higher + lower;
+    // The guaranteed share is 1/20. The tolerance is one grant more or less among the last 64, which
+    // dominate the average.
+    assert!((total / 25..=total / 14).contains(&lower), "{higher} {lower}");
 }
 
 #[test]
-fn without_a_floor_the_order_of_tiers_is_strict() {
-    let [_, lower] = play(Policy { floor: 0.0, ..policy() });
+fn without_a_guaranteed_share_an_overloaded_target_serves_only_the_highest_tier() {
+    let [_, lower] = grants_under_overload(Policy { floor: 0.0, ..admission_policy() });
 
     assert_eq!(lower, 0);
 }
 
-/// Pattern: answers of a length that is known, at a target of one pace.
+/// Workload: answers of known length from a target of constant speed: 1 ms for each token.
 #[test]
-fn the_time_of_a_token_is_told_once_enough_runs_have_ended() {
-    let mut state = open(1, policy());
+fn the_load_includes_the_step_time_after_enough_ended_runs() {
+    let mut state = open(1, admission_policy());
     let mut now = Instant::now();
     assert_eq!(state.load().step, None);
 
     for number in 0..8 {
-        let asked = Ask {
+        let ask_for_run = Ask {
             id: id(number),
             rank: 1,
             remaining: Duration::from_secs(60),
@@ -176,12 +180,12 @@
             offset: 0,
             body: Default::default(),
         };
-        agent::reduce(&mut state, now, Event::Reserve(asked));
+        agent::reduce(&mut state, now, Event::Reserve(ask_for_run));
         agent::reduce(&mut state, now, Event::Start(id(number)));
         now += 1_000 * MS;
         agent::reduce(&mut state, now, Event::Ended(id(number)));
     }
 
-    let step = state.load().step.expect("enough runs have ended");
+    let step = state.load().step.expect("8 runs have ended");
     assert!((MS.mul_f64(0.99)..MS).contains(&step), "{step:?}");
 }
--- a/components/scheduler/tests/agent_wake.rs
+++ b/components/scheduler/tests/agent_wake.rs
@@ -1,4 +1,5 @@
-//! The agent's wake-up time against a naive version that scans everything alive.
+//! Compares the agent's next wake-up time with a simple model that scans all waiting and granted
+//! reservations.
 
 use std::{
     collections::BTreeMap,
@@ -13,8 +14,8 @@
 use scheduler::agent::{self, Effect, Event, Room};
 use uuid::Uuid;
 
-const CASES: u32 = 200;
-const GRANT: Duration = Duration::from_millis(50);
+const DEFAULT_CASES: u32 = 200;
+const GRANT_LIFETIME: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -25,13 +26,13 @@
     Wait(u8),
 }
 
-/// Reservations that wait or hold a grant, with the time that ends each.
-type Naive = BTreeMap<Id, Instant>;
+/// Waiting and granted reservations, each with the time of its deadline or of the grant's expiry.
+type ExpectedEnds = BTreeMap<Id, Instant>;
 
 fn config() -> Config {
     let cases = std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok());
     Config {
-        cases: cases.unwrap_or(CASES),
+        cases: cases.unwrap_or(DEFAULT_CASES),
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(5),
         ..Config::default()
@@ -73,18 +74,18 @@
     }
 }
 
-/// Follows the state by the effects alone.
-fn follow(naive: &mut Naive, now: Instant, effects: &[Effect]) {
+/// Updates the model from the reducer's effects only, without looking into its state.
+fn apply_effects(expected_ends: &mut ExpectedEnds, now: Instant, effects: &[Effect]) {
     for effect in effects {
         match effect {
             Effect::Grant { id, grant } => {
-                naive.insert(*id, now + grant.life);
+                expected_ends.insert(*id, now + grant.life);
             }
             Effect::Deny { id, .. } | Effect::Dispatch(id) => {
-                naive.remove(id);
+                expected_ends.remove(id);
             }
             Effect::Tell { id, fate } if !matches!(fate, Fate::Waiting | Fate::Granted) => {
-                naive.remove(id);
+                expected_ends.remove(id);
             }
             _ => {}
         }
@@ -94,27 +95,31 @@
 proptest! {
     #![proptest_config(config())]
 
+    /// A missed wake-up would leave an expired reservation or grant in place and block its slot.
     #[test]
-    fn the_next_wake_is_the_earliest_end_of_all(steps in prop::collection::vec(step(), 1..120)) {
+    fn the_next_wake_is_the_earliest_deadline_or_grant_expiry(
+        steps in prop::collection::vec(step(), 1..120),
+    ) {
         let mut now = Instant::now();
-        let mut state = agent::open(Room { slots: 2, tokens: 100, waiting: 4, grant: GRANT });
-        let mut naive = Naive::new();
-        let mut asked = std::collections::BTreeSet::new();
+        let room = Room { slots: 2, tokens: 100, waiting: 4, grant: GRANT_LIFETIME };
+        let mut state = agent::open(room);
+        let mut expected_ends = ExpectedEnds::new();
+        let mut reserved_numbers = std::collections::BTreeSet::new();
 
         for step in steps {
             if let Step::Wait(millis) = step {
                 now += Duration::from_millis(millis.into());
             }
-            naive.retain(|_, until| *until > now);
+            expected_ends.retain(|_, until| *until > now);
             if let Step::Reserve { id: number, remaining_ms, .. } = step
-                && asked.insert(number)
+                && reserved_numbers.insert(number)
             {
-                naive.insert(id(number), now + Duration::from_millis(remaining_ms.into()));
+                expected_ends.insert(id(number), now + Duration::from_millis(remaining_ms.into()));
             }
             let effects = agent::reduce(&mut state, now, event(step));
-            follow(&mut naive, now, &effects);
+            apply_effects(&mut expected_ends, now, &effects);
 
-            prop_assert_eq!(agent::next_wake(&state), naive.values().min().copied());
+            prop_assert_eq!(agent::next_wake(&state), expected_ends.values().min().copied());
         }
     }
 }
--- a/components/scheduler/tests/suspects.rs
+++ b/components/scheduler/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Bodies that may crash a target: run alone, cleared or quarantined.
+//! Tests of request bodies that may crash a target: a suspect runs alone and is then cleared or quarantined.
 
 mod world;
 
@@ -20,10 +20,11 @@
 use uuid::Uuid;
 use world::Packet;
 
-const ROOM: Room = Room { slots: 4, tokens: 1_000, waiting: 64, grant: Duration::from_secs(60) };
+const CAPACITY: Room =
+    Room { slots: 4, tokens: 1_000, waiting: 64, grant: Duration::from_secs(60) };
 const DEADLINE: Duration = Duration::from_secs(5);
 
-fn body(number: u8) -> Fingerprint {
+fn fingerprint(number: u8) -> Fingerprint {
     [number; 16]
 }
 
@@ -31,7 +32,7 @@
     Id { request: Uuid::from_u128(number.into()), attempt: 1 }
 }
 
-fn ask(number: u8, fingerprint: Fingerprint, alone: bool) -> Event {
+fn reserve(number: u8, fingerprint: Fingerprint, alone: bool) -> Event {
     Event::Reserve(Ask {
         id: id(number),
         rank: 0,
@@ -44,70 +45,73 @@
     })
 }
 
-fn record(action: Action) -> String {
+fn encode_record(action: Action) -> String {
     serde_json::to_string(&Record { schema: SCHEMA, action }).unwrap()
 }
 
 fn crash(bodies: &[u8], alone: bool) -> String {
-    let running = bodies.iter().map(|number| body(*number)).collect();
-    record(Action::Crash(Crash { target: "t".to_owned(), running, alone }))
+    let running = bodies.iter().map(|number| fingerprint(*number)).collect();
+    encode_record(Action::Crash(Crash { target: "t".to_owned(), running, alone }))
 }
 
 fn clear(number: u8) -> String {
-    record(Action::Clear(Clear { fingerprint: body(number) }))
+    encode_record(Action::Clear(Clear { fingerprint: fingerprint(number) }))
 }
 
-#[test_case(&[] => None; "nothing happened")]
-#[test_case(&[crash(&[1, 2], false)] => Some(Standing::Suspected); "one of two")]
-#[test_case(&[crash(&[1, 2], false), crash(&[1, 3], false)] => Some(Standing::Suspected); "twice with neighbours")]
-#[test_case(&[crash(&[1, 2], false), crash(&[1], true)] => Some(Standing::Quarantined); "again alone")]
-#[test_case(&[crash(&[1, 2], false), clear(1)] => None; "ran alone to its end")]
-#[test_case(&[crash(&[1, 2], false), crash(&[2], true)] => Some(Standing::Suspected); "its neighbour did it")]
-#[test_case(&[crash(&[1], false), crash(&[1], true), clear(1)] => Some(Standing::Quarantined); "cleared too late")]
-fn records_make_a_standing(records: &[String]) -> Option<Standing> {
+#[test_case(&[] => None; "none without records")]
+#[test_case(&[crash(&[1, 2], false)] => Some(Standing::Suspected); "suspected when it ran with another")]
+#[test_case(&[crash(&[1, 2], false), crash(&[1, 3], false)] => Some(Standing::Suspected); "still suspected after two crashes with others")]
+#[test_case(&[crash(&[1, 2], false), crash(&[1], true)] => Some(Standing::Quarantined); "quarantined after a second crash alone")]
+#[test_case(&[crash(&[1, 2], false), clear(1)] => None; "cleared after it ran alone to its end")]
+#[test_case(&[crash(&[1, 2], false), crash(&[2], true)] => Some(Standing::Suspected); "still suspected when the other one is quarantined")]
+#[test_case(&[crash(&[1], false), crash(&[1], true), clear(1)] => Some(Standing::Quarantined); "still quarantined when cleared too late")]
+fn the_records_of_a_body_determine_its_standing(records: &[String]) -> Option<Standing> {
     let mut state = suspect::State::default();
 
     for (offset, payload) in (1..).zip(records) {
         state.apply(offset, payload);
-        // A record that is read twice.
+        // A record that is read twice must be applied once.
         state.apply(offset, payload);
     }
 
-    state.standing(body(1))
+    state.standing(fingerprint(1))
 }
 
+/// A crash breaks the connections of all running requests one after another, and after each the agent
+/// checks whether the target crashed. The bodies must be recorded together and only once.
 #[test]
-fn the_running_set_is_blamed_once_though_its_connections_break_one_by_one() {
+fn a_crash_is_recorded_once_though_its_connections_break_one_after_another() {
     let now = Instant::now();
-    let mut state = agent::open(ROOM);
+    let mut state = agent::open(CAPACITY);
     for number in 1..=3 {
-        agent::reduce(&mut state, now, ask(number, body(number), false));
+        agent::reduce(&mut state, now, reserve(number, fingerprint(number), false));
         agent::reduce(&mut state, now, Event::Start(id(number)));
     }
     agent::reduce(&mut state, now, Event::Lost(id(1)));
     agent::reduce(&mut state, now, Event::Ended(id(1)));
 
-    let first = agent::reduce(&mut state, now, Event::Died);
+    let first_crash = agent::reduce(&mut state, now, Event::Died);
     agent::reduce(&mut state, now, Event::Lost(id(2)));
-    let second = agent::reduce(&mut state, now, Event::Died);
+    let second_crash = agent::reduce(&mut state, now, Event::Died);
 
-    let running = vec![body(1), body(2), body(3)];
-    assert_eq!(first, [Effect::Crash { running, alone: false }]);
-    assert_eq!(second, []);
+    let running = vec![fingerprint(1), fingerprint(2), fingerprint(3)];
+    assert_eq!(first_crash, [Effect::Crash { running, alone: false }]);
+    assert_eq!(second_crash, []);
 }
 
+/// Retries of a crashing request must not crash the target again before the entries read the record.
 #[test]
-fn a_body_that_crashed_alone_is_denied_also_to_copies_that_wait() {
+fn a_body_that_crashed_the_target_alone_is_denied_including_waiting_copies() {
     let now = Instant::now();
-    let mut state = agent::open(ROOM);
-    agent::reduce(&mut state, now, ask(1, body(7), true));
+    let mut state = agent::open(CAPACITY);
+    agent::reduce(&mut state, now, reserve(1, fingerprint(7), true));
     agent::reduce(&mut state, now, Event::Start(id(1)));
-    agent::reduce(&mut state, now, ask(2, body(7), true));
+    agent::reduce(&mut state, now, reserve(2, fingerprint(7), true));
     agent::reduce(&mut state, now, Event::Lost(id(1)));
 
     let mut effects = agent::reduce(&mut state, now, Event::Died);
     effects.extend(agent::reduce(&mut state, now, Event::Ended(id(1))));
-    effects.extend(agent::reduce(&mut state, now, ask(3, body(7), true)));
+    effects.extend(agent::reduce(&mut state, now, reserve(3, fingerprint(7), true)));
 
     let denied = effects.iter().filter_map(|effect| match effect {
         Effect::Deny { id, denial } => Some((*id, denial.reason)),
@@ -119,10 +123,10 @@
 }
 
 #[test]
-fn a_broken_connection_to_a_target_that_lives_blames_nobody() {
+fn a_broken_connection_to_a_running_target_records_no_crash() {
     let now = Instant::now();
-    let mut state = agent::open(ROOM);
-    agent::reduce(&mut state, now, ask(1, body(1), false));
+    let mut state = agent::open(CAPACITY);
+    agent::reduce(&mut state, now, reserve(1, fingerprint(1), false));
     agent::reduce(&mut state, now, Event::Start(id(1)));
     agent::reduce(&mut state, now, Event::Lost(id(1)));
     agent::reduce(&mut state, now, Event::Lives);
@@ -132,26 +136,30 @@
 }
 
 #[test]
-fn a_suspect_waits_at_one_target_at_a_time_and_a_quarantined_one_nowhere() {
-    let mut world = world::open(ROOM, 64);
+fn a_suspect_waits_at_one_target_at_a_time_and_a_quarantined_body_is_refused() {
+    let mut world = world::open(CAPACITY, 64);
     let request = world.arrive(0, 0, DEADLINE);
-    let standing = |payload, offset| {
+    let crash_record = |alone, offset| {
         let running = vec![Fingerprint::default()];
-        let crash = Crash { target: "t".to_owned(), running, alone: payload };
-        let payload = record(Action::Crash(crash));
+        let crash = Crash { target: "t".to_owned(), running, alone };
+        let payload = encode_record(Action::Crash(crash));
         entry::Event::Crashes(vec![entry::Record { offset, payload }])
     };
 
-    world.entry(0, standing(false, 1));
+    world.entry(0, crash_record(false, 1));
     world.advance(Duration::from_secs(1));
-    let asks = world.network.iter().filter_map(|packet| match packet {
+    let suspect_flags = world.network.iter().filter_map(|packet| match packet {
         Packet::Reserve { ask, .. } => Some(ask.body.alone),
         _ => None,
     });
-    let asks: Vec<bool> = asks.collect();
-    world.entry(0, standing(true, 2));
-
-    assert_eq!(asks, [false, true], "the first ask was made before it was suspected");
+    let suspect_flags: Vec<bool> = suspect_flags.collect();
+    world.entry(0, crash_record(true, 2));
+
+    assert_eq!(
+        suspect_flags,
+        [false, true],
+        "the first reservation was made before the body was suspected"
+    );
     assert_eq!(world.refused.get(&request), Some(&Ran::NotRun));
 }
 
@@ -163,32 +171,32 @@
         ..ProptestConfig::default()
     })]
 
-    /// The oracle: what runs, by the effects alone.
+    /// The expected set of granted and running reservations is derived from the reducer's effects only.
     #[test]
     fn nothing_runs_beside_a_suspect(
         steps in prop::collection::vec((0..4_u8, any::<bool>(), any::<Index>()), 1..120),
     ) {
         let now = Instant::now();
-        let mut state = agent::open(ROOM);
+        let mut state = agent::open(CAPACITY);
         let mut held: Vec<(Id, bool)> = Vec::new();
         let mut suspects: Vec<Id> = Vec::new();
 
-        for ((kind, alone, index), number) in steps.into_iter().zip(1_u8..) {
+        for ((kind, is_suspect, index), number) in steps.into_iter().zip(1_u8..) {
             let event = match kind {
                 0 | 1 => {
-                    if alone {
+                    if is_suspect {
                         suspects.push(id(number));
                     }
-                    ask(number, body(number), alone)
+                    reserve(number, fingerprint(number), is_suspect)
                 }
                 2 if !held.is_empty() => {
-                    let at = index.index(held.len());
-                    held[at].1 = true;
-                    Event::Start(held[at].0)
+                    let position = index.index(held.len());
+                    held[position].1 = true;
+                    Event::Start(held[position].0)
                 }
                 3 if !held.is_empty() => {
-                    let (id, started) = held.remove(index.index(held.len()));
-                    if started { Event::Ended(id) } else { Event::Cancel(id) }
+                    let (id, is_started) = held.remove(index.index(held.len()));
+                    if is_started { Event::Ended(id) } else { Event::Cancel(id) }
                 }
                 _ => Event::Tick,
             };
