--- a/components/scheduler/benches/agent.rs
+++ b/components/scheduler/benches/agent.rs
@@ -1,4 +1,5 @@
-//! Time of a request's whole life at an agent as its queue grows: a reservation, a start, an end.
+//! Measures the time for a request's life cycle at an agent (reservation, start and end) by the length of
+//! the agent's queue.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -6,17 +7,17 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 
 const SLOTS: usize = 64;
-const WAITING: [usize; 4] = [1, 10, 100, 1_000];
+const QUEUE_LENGTHS: [usize; 4] = [1, 10, 100, 1_000];
 
-fn life(criterion: &mut Criterion) {
+fn life_cycle(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("agent/life_by_waiting");
-    for waiting in WAITING {
-        let mut agent = support::agent(SLOTS, waiting);
-        let id = BenchmarkId::from_parameter(waiting);
-        group.bench_function(id, |bencher| bencher.iter(|| agent.cycle()));
+    for queue_length in QUEUE_LENGTHS {
+        let mut agent = support::agent(SLOTS, queue_length);
+        let id = BenchmarkId::from_parameter(queue_length);
+        group.bench_function(id, |bencher| bencher.iter(|| agent.run_life_cycle()));
     }
     group.finish();
 }
 
-criterion_group! { name = agent; config = support::criterion(); targets = life }
+criterion_group! { name = agent; config = support::criterion(); targets = life_cycle }
 criterion_main!(agent);
--- a/components/scheduler/benches/config.rs
+++ b/components/scheduler/benches/config.rs
@@ -1,4 +1,5 @@
-//! Time to apply one change as the number of resources grows.
+//! Measures the time to apply one change of the configuration, and to list its tiers, by the number of
+//! resources.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -12,57 +13,61 @@
     resource::{Key, Kind},
 };
 use scheduler::config::State;
-use support::Shape;
+use support::StateSize;
 
-const RESOURCES: [usize; 4] = [100, 1_000, 10_000, 60_000];
+const RESOURCE_COUNTS: [usize; 4] = [100, 1_000, 10_000, 60_000];
 
 fn replace_account(criterion: &mut Criterion) {
-    measure(criterion, "config/replace_account", |serial| support::account(0, serial));
+    bench_replacement(criterion, "config/replace_account", |serial| support::account(0, serial));
 }
 
 fn replace_tier(criterion: &mut Criterion) {
-    measure(criterion, "config/replace_tier", |_| support::tier(0));
+    bench_replacement(criterion, "config/replace_tier", |_| support::tier(0));
 }
 
 fn list_tiers(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("config/list_tiers");
-    for resources in RESOURCES {
-        let state = support::configuration(shape(resources));
-        let id = BenchmarkId::from_parameter(resources);
+    for resource_count in RESOURCE_COUNTS {
+        let state = support::configuration(state_size(resource_count));
+        let id = BenchmarkId::from_parameter(resource_count);
         group.bench_function(id, |bencher| bencher.iter(|| state.list(Kind::Tier).count()));
     }
     group.finish();
 }
 
-fn measure(criterion: &mut Criterion, name: &str, resource: fn(u32) -> Resource) {
+/// Measures the replacement of one resource by a new version, for each number of resources.
+fn bench_replacement(criterion: &mut Criterion, name: &str, make_resource: fn(u32) -> Resource) {
     let mut group = criterion.benchmark_group(name);
-    for resources in RESOURCES {
-        let mut state = support::configuration(shape(resources));
-        let id = BenchmarkId::from_parameter(resources);
+    for resource_count in RESOURCE_COUNTS {
+        let mut state = support::configuration(state_size(resource_count));
+        let id = BenchmarkId::from_parameter(resource_count);
         group.bench_function(id, |bencher| {
-            bencher.iter_custom(|count| (0..count).map(|_| replace(&mut state, resource)).sum());
+            bencher.iter_custom(|count| {
+                (0..count).map(|_| apply_replacement(&mut state, make_resource)).sum()
+            });
         });
     }
     group.finish();
 }
 
-/// Applies one accepted change and gives the time that this took.
-fn replace(state: &mut State, resource: fn(u32) -> Resource) -> Duration {
+/// Applies one change, which must be accepted, and returns the time that applying it took.
+fn apply_replacement(state: &mut State, make_resource: fn(u32) -> Resource) -> Duration {
     let offset = state.applied() + 1;
-    let resource = resource((offset % 1_000) as u32);
+    let resource = make_resource((offset % 1_000) as u32);
     let Key { kind, name } = resource.key();
     let expected = state.version(&Key { kind, name });
     let payload = support::change(Action::Put(resource), expected);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let outcome = state.apply(offset, &payload);
-    let took = began.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(matches!(outcome, Ok(scheduler::config::Outcome::Accepted(_))), "{outcome:?}");
-    took
+    elapsed
 }
 
-fn shape(resources: usize) -> Shape {
-    let targets = resources / 5;
-    Shape { accounts: resources - targets, targets, waiting: 0 }
+/// Returns the numbers of accounts (80 %) and targets (20 %) in a configuration of some size.
+fn state_size(resource_count: usize) -> StateSize {
+    let targets = resource_count / 5;
+    StateSize { accounts: resource_count - targets, targets, waiting: 0 }
 }
 
 criterion_group! {
--- a/components/scheduler/benches/membership.rs
+++ b/components/scheduler/benches/membership.rs
@@ -1,4 +1,5 @@
-//! Time to find a key's homes and to apply a replacement as members and former members grow.
+//! Measures the time to find the home of a claim key (the member that decides its claims), to find all its
+//! homes including former ones, and to apply the replacement of a member, by the number of members.
 
 #[path = "support/mod.rs"]
 mod support;
@@ -6,16 +7,17 @@
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use scheduler::membership::State;
 
-const MEMBERS: [usize; 4] = [20, 100, 1_000, 10_000];
-/// Replacements within the window, for each hundred members: a day's at the target size.
+const MEMBER_COUNTS: [usize; 4] = [20, 100, 1_000, 10_000];
+/// Replaced members within the window in which former members are kept, in percent of all members: the
+/// expected number of a day at the size that the system is designed for.
 const REPLACED_PERCENT: usize = 44;
 
-fn home(criterion: &mut Criterion) {
+fn newest_home(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership/home");
-    for members in MEMBERS {
-        let state = support::membership(members, members * REPLACED_PERCENT / 100);
+    for member_count in MEMBER_COUNTS {
+        let state = support::membership(member_count, member_count * REPLACED_PERCENT / 100);
         let mut key = 0;
-        group.bench_function(BenchmarkId::from_parameter(members), |bencher| {
+        group.bench_function(BenchmarkId::from_parameter(member_count), |bencher| {
             bencher.iter(|| {
                 key += 1;
                 state.home(support::claim_key(key)).map(|home| home.joined)
@@ -25,12 +27,12 @@
     group.finish();
 }
 
-fn homes(criterion: &mut Criterion) {
+fn all_homes(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership/homes");
-    for members in MEMBERS {
-        let state = support::membership(members, members * REPLACED_PERCENT / 100);
+    for member_count in MEMBER_COUNTS {
+        let state = support::membership(member_count, member_count * REPLACED_PERCENT / 100);
         let mut key = 0;
-        group.bench_function(BenchmarkId::from_parameter(members), |bencher| {
+        group.bench_function(BenchmarkId::from_parameter(member_count), |bencher| {
             bencher.iter(|| {
                 key += 1;
                 state.homes(support::claim_key(key)).len()
@@ -40,13 +42,13 @@
     group.finish();
 }
 
-fn replace(criterion: &mut Criterion) {
+fn apply_replacement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("membership/replace");
-    for members in MEMBERS {
-        let state = support::membership(members, members * REPLACED_PERCENT / 100);
+    for member_count in MEMBER_COUNTS {
+        let state = support::membership(member_count, member_count * REPLACED_PERCENT / 100);
         let offset = state.epoch() + 1;
         let record = support::join(0, offset);
-        group.bench_function(BenchmarkId::from_parameter(members), |bencher| {
+        group.bench_function(BenchmarkId::from_parameter(member_count), |bencher| {
             let apply = |state: &mut State| state.apply(offset, &record).expect("no gap");
             bencher.iter_batched_ref(|| state.clone(), apply, BatchSize::LargeInput);
         });
@@ -57,6 +59,6 @@
 criterion_group! {
     name = membership;
     config = support::criterion();
-    targets = home, homes, replace
+    targets = newest_home, all_homes, apply_replacement
 }
 criterion_main!(membership);
--- a/components/scheduler/benches/support/mod.rs
+++ b/components/scheduler/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the benchmarks: states of a given size and events that keep their size.
+//! Fixtures of the benchmarks: reducer states of a given size, and events that leave the size unchanged.
 
 #![allow(dead_code)]
 
@@ -21,20 +21,21 @@
     agent::{self, Room},
     claim, config,
     entry::{self, Call, Event, Record, Request},
-    membership as fold,
+    membership as members,
 };
 use uuid::Uuid;
 
-/// Time between two requests at one agent at the target size: 88,000 a second over 10,000.
-pub const PERIOD: Duration = Duration::from_micros(113_636);
-/// Deadline that no benchmark reaches.
-pub const DEADLINE: Duration = Duration::from_secs(3_600);
-const GRANT: Duration = Duration::from_millis(500);
-const POOL: &str = "drawings";
-const MODEL: &str = "drawing-7b";
-const TIERS: Rank = 4;
+/// Time between two requests at one agent at the size that the system is designed for: 88,000 requests a
+/// second on 10,000 agents.
+pub const REQUEST_INTERVAL: Duration = Duration::from_micros(113_636);
+/// Deadline that is longer than any benchmark, so that no request expires.
+pub const UNREACHED_DEADLINE: Duration = Duration::from_secs(3_600);
+const GRANT_LIFETIME: Duration = Duration::from_millis(500);
+const POOL_NAME: &str = "drawings";
+const MODEL_NAME: &str = "drawing-7b";
+const TIER_COUNT: Rank = 4;
 
-/// A benchmark of short runs: the machine is shared.
+/// Returns a benchmark configuration with short measurements, since the machine is shared.
 pub fn criterion() -> Criterion {
     Criterion::default()
         .sample_size(20)
@@ -42,37 +43,40 @@
         .measurement_time(Duration::from_millis(800))
 }
 
-/// An agent's reducer at work: as many wait as asked, one starts as one ends.
-pub struct Agent {
+/// An agent's reducer with all slots in use and a queue of constant length: one request starts whenever
+/// another ends.
+pub struct AgentBench {
     state: agent::State,
     now: Instant,
-    next: u128,
+    next_request: u128,
     running: std::collections::VecDeque<Id>,
 }
 
-/// An agent with its running set and its queue filled, and the tombstones of ten minutes.
-pub fn agent(slots: usize, waiting: usize) -> Agent {
-    let room = Room { slots, tokens: u64::MAX, waiting: waiting + slots + 1, grant: GRANT };
-    let mut agent = Agent {
+/// Returns an agent with all slots in use, `waiting` reservations in its queue, and the tombstones of
+/// [`agent::TOMBSTONE_LIFE`].
+pub fn agent(slots: usize, waiting: usize) -> AgentBench {
+    let room =
+        Room { slots, tokens: u64::MAX, waiting: waiting + slots + 1, grant: GRANT_LIFETIME };
+    let mut agent = AgentBench {
         state: agent::open(room),
         now: Instant::now(),
-        next: 0,
+        next_request: 0,
         running: Default::default(),
     };
     for _ in 0..slots + waiting {
         agent.reserve();
     }
-    let cycles = agent::TOMBSTONE_LIFE.as_nanos() / PERIOD.as_nanos() + 1;
-    for _ in 0..cycles {
-        agent.cycle();
+    let cycle_count = agent::TOMBSTONE_LIFE.as_nanos() / REQUEST_INTERVAL.as_nanos() + 1;
+    for _ in 0..cycle_count {
+        agent.run_life_cycle();
     }
     agent
 }
 
-impl Agent {
-    /// One request's whole life at the agent: a reservation, a start and an end.
-    pub fn cycle(&mut self) {
-        self.now += PERIOD;
+impl AgentBench {
+    /// Runs one request through its life cycle at the agent: a reservation, a start and an end.
+    pub fn run_life_cycle(&mut self) {
+        self.now += REQUEST_INTERVAL;
         self.reserve();
         if let Some(id) = self.running.pop_front() {
             self.reduce(agent::Event::Ended(id));
@@ -81,15 +85,15 @@
     }
 
     fn reserve(&mut self) {
-        self.next += 1;
-        let rank = (self.next % u128::from(TIERS)) as Rank;
-        let id = Id { request: Uuid::from_u128(self.next), attempt: 1 };
+        self.next_request += 1;
+        let rank = (self.next_request % u128::from(TIER_COUNT)) as Rank;
+        let id = Id { request: Uuid::from_u128(self.next_request), attempt: 1 };
         let prefix = (0..4).collect();
         let (prefill, decode) = (2_000, 500);
         let ask = Ask {
             id,
             rank,
-            remaining: DEADLINE,
+            remaining: UNREACHED_DEADLINE,
             prefill,
             decode,
             prefix,
@@ -109,58 +113,58 @@
     }
 }
 
-/// Sizes of an entry's state.
+/// Number of the resources and requests in a state.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// Client accounts.
+pub struct StateSize {
+    /// Number of client accounts.
     pub accounts: usize,
-    /// Targets of the one pool.
+    /// Number of targets, all of them in one pool.
     pub targets: usize,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
 
-/// An entry's reducer at work: as many wait as asked while others come and go.
-pub struct Entry {
+/// An entry's reducer with a constant number of waiting requests.
+pub struct EntryBench {
     state: entry::State,
     now: Instant,
-    next: u128,
+    next_request: u128,
     accounts: usize,
 }
 
-/// An entry that has read its configuration and whose requests wait.
-pub fn entry(shape: Shape) -> Entry {
-    let settings = entry::Settings { waiting: shape.waiting + 1, zone: "a".to_owned() };
+/// Returns an entry that has read its whole configuration and has `size.waiting` waiting requests.
+pub fn entry(size: StateSize) -> EntryBench {
+    let settings = entry::Settings { waiting: size.waiting + 1, zone: "a".to_owned() };
     let mut state = entry::open(settings);
     let now = Instant::now();
-    for record in records(shape) {
+    for record in records(size) {
         entry::reduce(&mut state, now, Event::Records(vec![record]));
     }
     entry::reduce(&mut state, now, Event::CaughtUp);
-    let mut entry = Entry { state, now, next: 0, accounts: shape.accounts };
-    for _ in 0..shape.waiting {
+    let mut entry = EntryBench { state, now, next_request: 0, accounts: size.accounts };
+    for _ in 0..size.waiting {
         entry.arrive();
     }
     entry
 }
 
-impl Entry {
-    /// One request's whole life at the entry: arrival, grant and end.
-    pub fn cycle(&mut self) {
+impl EntryBench {
+    /// Runs one request through its life cycle at the entry: arrival, grant and end.
+    pub fn run_life_cycle(&mut self) {
         let request = self.arrive();
         let id = Id { request, attempt: 1 };
-        let grant = Grant { life: GRANT, load: Load::default() };
+        let grant = Grant { life: GRANT_LIFETIME, load: Load::default() };
         let effects = entry::reduce(&mut self.state, self.now, Event::Granted { id, grant });
-        let starts = |effect: &entry::Effect| matches!(effect, entry::Effect::Start(_));
-        assert!(effects.iter().any(starts), "{effects:?}");
+        let is_start = |effect: &entry::Effect| matches!(effect, entry::Effect::Start(_));
+        assert!(effects.iter().any(is_start), "{effects:?}");
         std::hint::black_box(effects);
         entry::reduce(&mut self.state, self.now, Event::Ended { request });
         std::hint::black_box(entry::next_wake(&self.state));
     }
 
     fn arrive(&mut self) -> Uuid {
-        self.next += 1;
-        let request = request(self.next, self.next as usize % self.accounts);
+        self.next_request += 1;
+        let request = request(self.next_request, self.next_request as usize % self.accounts);
         let id = request.id;
         let effects = entry::reduce(&mut self.state, self.now, Event::Arrived(request));
         assert!(matches!(effects.as_slice(), [entry::Effect::Reserve { .. }]), "{effects:?}");
@@ -173,8 +177,8 @@
         id: Uuid::from_u128(number),
         credential: Some(hash(account)),
         tier: None,
-        call: Some(Call::Completion(MODEL.to_owned())),
-        deadline: Some(DEADLINE),
+        call: Some(Call::Completion(MODEL_NAME.to_owned())),
+        deadline: Some(UNREACHED_DEADLINE),
         idempotent: None,
         key: None,
         prefill: 2_000,
@@ -185,11 +189,11 @@
     }
 }
 
-/// The records of a configuration with tiers, one pool, its targets and accounts.
-pub fn records(shape: Shape) -> impl Iterator<Item = Record> {
-    let tiers = (0..TIERS).map(tier);
-    let targets = (0..shape.targets).map(target);
-    let accounts = (0..shape.accounts).map(|number| account(number, 0));
+/// Returns the records of a configuration with tiers, one pool, its targets and accounts.
+pub fn records(size: StateSize) -> impl Iterator<Item = Record> {
+    let tiers = (0..TIER_COUNT).map(tier);
+    let targets = (0..size.targets).map(target);
+    let accounts = (0..size.accounts).map(|number| account(number, 0));
     let resources = tiers.chain([pool()]).chain(targets).chain(accounts);
     let record = |(index, resource)| Record {
         offset: index as Offset + 1,
@@ -198,23 +202,23 @@
     resources.enumerate().map(record)
 }
 
-/// The configuration after these records.
-pub fn configuration(shape: Shape) -> config::State {
+/// Returns the configuration after the records of [`records`] are applied.
+pub fn configuration(size: StateSize) -> config::State {
     let mut state = config::State::default();
-    for record in records(shape) {
+    for record in records(size) {
         let outcome = state.apply(record.offset, &record.payload).expect("offsets have no gap");
         assert!(matches!(outcome, config::Outcome::Accepted(_)), "{outcome:?}");
     }
     state
 }
 
-/// A change record with a fresh id, as text.
+/// Returns a change record with a new random id, as JSON text.
 pub fn change(action: Action, expected: Offset) -> String {
     let change = Change { schema: SCHEMA, id: Uuid::new_v4(), expected, action };
     serde_json::to_string(&change).expect("a change is JSON")
 }
 
-/// A client account; the serial makes one version unlike another.
+/// Returns a client account; different values of `serial` give different versions of the account.
 pub fn account(number: usize, serial: u32) -> Resource {
     Resource::Account(Account {
         name: format!("account-{number}"),
@@ -227,17 +231,17 @@
     })
 }
 
-/// A tier.
+/// Returns the tier with this rank.
 pub fn tier(rank: Rank) -> Resource {
-    Resource::Tier(Tier { name: format!("tier-{rank}"), rank, deadline: DEADLINE })
+    Resource::Tier(Tier { name: format!("tier-{rank}"), rank, deadline: UNREACHED_DEADLINE })
 }
 
 fn pool() -> Resource {
     Resource::Pool(Pool {
-        name: POOL.to_owned(),
+        name: POOL_NAME.to_owned(),
         backing: Backing::Model,
-        models: vec![MODEL.to_owned()],
-        patience: DEADLINE,
+        models: vec![MODEL_NAME.to_owned()],
+        patience: UNREACHED_DEADLINE,
         idempotent: true,
     })
 }
@@ -246,7 +250,7 @@
     let address = SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000));
     Resource::Target(Target {
         name: format!("target-{number}"),
-        pool: POOL.to_owned(),
+        pool: POOL_NAME.to_owned(),
         host: format!("host-{number}"),
         zone: "a".to_owned(),
         control: address,
@@ -261,9 +265,9 @@
     credential::hash(&format!("account-{account}-key"))
 }
 
-/// Members, after as many of them were replaced as asked.
-pub fn membership(members: usize, replaced: usize) -> fold::State {
-    let mut state = fold::State::default();
+/// Returns a membership of `members` members after `replaced` replacements of a member by a new run.
+pub fn membership(members: usize, replaced: usize) -> members::State {
+    let mut state = members::State::default();
     for number in 0..members + replaced {
         let offset = state.epoch() + 1;
         let record = join(number % members, offset);
@@ -272,7 +276,7 @@
     state
 }
 
-/// The record of an agent's join, as text; the offset makes it a run of its own.
+/// Returns the record of an agent's join, as JSON text. Each offset gives a different run of the agent.
 pub fn join(number: usize, offset: Offset) -> String {
     let record = membership::Record {
         schema: membership::SCHEMA,
@@ -287,13 +291,13 @@
     serde_json::to_string(&record).expect("a record is JSON")
 }
 
-/// A claim key, spread as a hash is.
+/// Returns a claim key; the keys are uniformly distributed, since they are hashes.
 pub fn claim_key(number: u64) -> ClaimKey {
     let hash = *blake3::hash(&number.to_le_bytes()).as_bytes();
     ClaimKey::from_le_bytes(hash[..size_of::<ClaimKey>()].try_into().expect("a hash is longer"))
 }
 
-/// An agent, alone in its deployment, that remembers as many claims as asked.
+/// Returns the claims of an agent that is the only member and has granted `count` claims.
 pub fn claims(count: usize) -> claim::State {
     let incarnation = Uuid::from_u128(1);
     let mut state = claim::open(claim::Settings { incarnation, claims: count });
@@ -311,9 +315,9 @@
     state
 }
 
-/// A configuration in which one account was changed again and again.
-pub fn changed(changes: usize) -> config::State {
-    let mut state = configuration(Shape { accounts: 1, targets: 1, waiting: 0 });
+/// Returns a configuration with one account that was changed `changes` times.
+pub fn configuration_after_changes(changes: usize) -> config::State {
+    let mut state = configuration(StateSize { accounts: 1, targets: 1, waiting: 0 });
     for serial in 0..changes {
         let resource = account(0, serial as u32);
         let expected = state.version(&resource.key());
--- a/components/scheduler/examples/snapshot.rs
+++ b/components/scheduler/examples/snapshot.rs
@@ -1,22 +1,23 @@
-//! Measures a snapshot of the configuration at the target size: bytes, parts and times.
+//! Measures a snapshot of a configuration of the size that the system is designed for: its size in bytes,
+//! its number of parts, and the times to build, write and restore it.
 
 use std::{error::Error, time::Instant};
 
 use model::{
     Change, Resource,
     change::{Action, SCHEMA},
-    credential, snapshot as parts,
+    credential, snapshot as snapshot_parts,
 };
 use scheduler::config::{State, outcomes::WINDOW, snapshot};
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-const ACCOUNTS: u32 = 43_000;
-const TARGETS: u32 = 10_000;
+const ACCOUNT_COUNT: u32 = 43_000;
+const TARGET_COUNT: u32 = 10_000;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let started = Instant::now();
-    let state = fill()?;
+    let state = build_configuration()?;
     println!("applied    {} records in {:?}", state.applied(), started.elapsed());
 
     let started = Instant::now();
@@ -26,25 +27,26 @@
 
     let started = Instant::now();
     let text = taken.render();
-    let parts = parts::split(taken.applied, &text);
+    let parts = snapshot_parts::split(taken.applied, &text);
     let (bytes, count) = (text.len(), parts.len());
     println!("written    {bytes} bytes in {count} parts in {:?}", started.elapsed());
 
     let started = Instant::now();
     let mut restored = State::default();
-    let read = snapshot::parse(&text).ok_or("the snapshot can't be read")?;
-    restored.restore(read)?;
+    let parsed = snapshot::parse(&text).ok_or("the written snapshot can't be parsed")?;
+    restored.restore(parsed)?;
     println!("restored   in {:?}, equal: {}", started.elapsed(), restored == state);
     Ok(())
 }
 
-fn fill() -> Result<State, Box<dyn Error>> {
+/// Returns a configuration with one tier, one pool, and the accounts and targets.
+fn build_configuration() -> Result<State, Box<dyn Error>> {
     let mut values = vec![
         json!({"kind": "tier", "name": "crew", "rank": 0, "deadline_ms": 5_000}),
         json!({"kind": "pool", "name": "drawings", "backing": "model", "models": ["drawing-7b"]}),
     ];
-    values.extend((0..ACCOUNTS).map(account));
-    values.extend((0..TARGETS).map(target));
+    values.extend((0..ACCOUNT_COUNT).map(account));
+    values.extend((0..TARGET_COUNT).map(target));
     let mut state = State::default();
     for (value, offset) in values.into_iter().zip(1_u64..) {
         let resource: Resource = serde_json::from_value(value)?;
--- a/components/scheduler/examples/window.rs
+++ b/components/scheduler/examples/window.rs
@@ -1,5 +1,8 @@
-//! Measures how long a lower tier had waited at a target that denied a higher one, at the time
-//! when the higher one was refused: the window that is left between entries and targets.
+//! Measures priority inversions under overload: requests that an entry refused for lack of capacity while a
+//! request of a lower tier waited, at the same entry or at a target that had denied the refused request.
+//!
+//! The window of a refusal is the longest time between such a denial by a target and the refusal. Such
+//! windows remain because an entry learns of a target's queue only with the messages between them.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -10,51 +13,57 @@
 use scheduler::agent::Room;
 use world::{ENTRIES, TARGETS, TIERS, World};
 
-/// One way between two processes.
-const STEP: Duration = Duration::from_micros(1_500);
-const STEPS: u32 = 40_000;
+/// Time that a message takes between two processes; one step of the simulation.
+const MESSAGE_DELAY: Duration = Duration::from_micros(1_500);
+const STEP_COUNT: u32 = 40_000;
 const SLOTS: usize = 2;
-/// Mean steps of one run.
-const RUN_STEPS: f64 = 14.0;
+/// Mean duration of a run, in steps of the simulation.
+const MEAN_RUN_STEPS: f64 = 14.0;
 const DEADLINE: Duration = Duration::from_secs(5);
 
 fn main() {
     println!(
-        "load  arrived  shed by tier {TIERS:?}  inversions at an entry  with a window  longest"
+        "load  arrivals  sheds by tier {TIERS:?}  inversions at an entry  with a window  longest"
     );
     for load in [1.0, 1.5, 2.0, 4.0] {
-        measure(load);
+        simulate_load(load);
     }
 }
 
-fn measure(load: f64) {
+fn simulate_load(load: f64) {
     let grant = Duration::from_millis(200);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut world = world::open(Room { slots: SLOTS, tokens: 10_000, waiting: 8, grant }, 4_096);
-    let rate = load * (TARGETS * SLOTS) as f64 / RUN_STEPS;
-    for _ in 0..STEPS {
-        step(&mut world, &mut rng, rate);
+    let arrivals_per_step = load * (TARGETS * SLOTS) as f64 / MEAN_RUN_STEPS;
+    for _ in 0..STEP_COUNT {
+        simulate_step(&mut world, &mut rng, arrivals_per_step);
     }
-    let shed = |rank| world.sheds.iter().filter(|shed| usize::from(shed.rank) == rank).count();
-    let by_tier: Vec<usize> = (0..TIERS.len()).map(shed).collect();
-    let inverted = world.sheds.iter().filter(|s| s.lowest_here.is_some_and(|low| low > s.rank));
-    let windows: Vec<Duration> = world.sheds.iter().filter_map(|shed| shed.window).collect();
-    let longest = windows.iter().max().copied().unwrap_or_default();
-    let (arrived, inverted) = (world.ranks.len(), inverted.count());
-    println!("{load}  {arrived}  {by_tier:?}  {inverted}  {}  {longest:?}", windows.len());
+    let shed_count_of =
+        |rank| world.sheds.iter().filter(|shed| usize::from(shed.rank) == rank).count();
+    let sheds_by_tier: Vec<usize> = (0..TIERS.len()).map(shed_count_of).collect();
+    let inversions = world.sheds.iter().filter(|s| s.lowest_here.is_some_and(|low| low > s.rank));
+    let inversion_windows: Vec<Duration> =
+        world.sheds.iter().filter_map(|shed| shed.window).collect();
+    let longest_window = inversion_windows.iter().max().copied().unwrap_or_default();
+    let (arrivals_total, inversions) = (world.ranks.len(), inversions.count());
+    println!(
+        "{load}  {arrivals_total}  {sheds_by_tier:?}  {inversions}  {}  {longest_window:?}",
+        inversion_windows.len()
+    );
 }
 
-fn step(world: &mut World, rng: &mut SmallRng, rate: f64) {
-    let sent = world.network.len();
-    // Messages that were sent before this step arrive in it; their answers leave in it.
-    for _ in 0..sent {
+fn simulate_step(world: &mut World, rng: &mut SmallRng, arrivals_per_step: f64) {
+    let in_transit = world.network.len();
+    // Messages that were sent before this step are delivered in it; their answers are sent in it.
+    for _ in 0..in_transit {
         world.deliver_first();
     }
-    world.advance(STEP);
-    let ending = (0..world.running()).rev().filter(|_| rng.random_bool(1.0 / RUN_STEPS));
-    let ending: Vec<usize> = ending.collect();
-    ending.into_iter().for_each(|index| world.end_run(index));
-    let arrivals = rate.trunc() as usize + usize::from(rng.random_bool(rate.fract()));
+    world.advance(MESSAGE_DELAY);
+    let ending_runs = (0..world.running()).rev().filter(|_| rng.random_bool(1.0 / MEAN_RUN_STEPS));
+    let ending_runs: Vec<usize> = ending_runs.collect();
+    ending_runs.into_iter().for_each(|index| world.end_run(index));
+    let arrivals = arrivals_per_step.trunc() as usize
+        + usize::from(rng.random_bool(arrivals_per_step.fract()));
     for _ in 0..arrivals {
         let rank = rng.random_range(0..TIERS.len());
         let rank = rank.try_into().expect("there are few tiers");
