--- a/components/scheduler/src/config.rs
+++ b/components/scheduler/src/config.rs
@@ -1,4 +1,5 @@
-//! The fold over the configuration stream: every process comes to the same state.
+//! The configuration as the result of applying the records of the configuration log in order. Applying is
+//! deterministic: processes that applied the same records hold equal states.
 
 pub mod outcomes;
 pub mod snapshot;
@@ -22,41 +23,42 @@
 pub use snapshot::Snapshot;
 use thiserror::Error;
 
-/// What `garde` puts before the path of a value within an enum's variant.
-const VARIANT: &str = "[0].";
+/// Prefix that `garde` gives the path of a field inside an enum variant. Findings name the field without it.
+const VARIANT_PATH_PREFIX: &str = "[0].";
 
-/// A resource with the version that stands.
+/// A stored resource with its current version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Versioned {
-    /// Offset of its last accepted change.
+    /// Offset of the last accepted change to the resource.
     pub version: Offset,
-    /// The resource.
+    /// The resource as of that version.
     pub resource: Resource,
 }
 
-/// What a change came to.
+/// The decision on a change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is in force from this offset on.
+    /// The change was accepted; it is in force from this offset on.
     Accepted(Offset),
-    /// Another version stands; 0 means that none does.
+    /// The change expected a version of the resource other than the current one.
     Conflict {
-        /// The version that stands.
+        /// Current version of the resource; 0 where the resource doesn't exist.
         stands: Offset,
     },
-    /// It can't be accepted as it is.
+    /// The change is invalid, for these reasons.
     Rejected(Vec<Finding>),
 }
 
-/// A record that was applied.
+/// The result of applying one record of the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Step {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: Offset,
-    /// What it came to.
+    /// The decision on the record's change; a record that can't be parsed as a change is rejected.
     pub outcome: Outcome,
-    /// What it would do; `None` where it isn't a change.
+    /// The action that the change asks for, whether or not it was accepted; `None` where the record isn't a
+    /// change.
     pub action: Option<Action>,
 }
 
@@ -65,9 +67,9 @@
 pub enum Error {
     /// records between offset {applied} and offset {got} are missing
     Gap {
-        /// Highest offset that is applied.
+        /// Highest offset applied so far.
         applied: Offset,
-        /// Offset of the record that was given.
+        /// Offset of the record that was passed in.
         got: Offset,
     },
     /// offset {0} is applied already
@@ -77,29 +79,32 @@
 /// The configuration as of one offset.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
-    /// Highest offset that is applied; never falls.
+    /// Highest offset applied; 0 before the first record. It never decreases.
     applied: Offset,
     resources: BTreeMap<Key, Versioned>,
-    /// What recent changes came to, for repeats of the same id.
+    /// Outcomes of recent changes by change id, so that a retried change has no second effect.
     outcomes: Outcomes,
-    /// Indices over `resources`.
-    accounts: BTreeMap<KeyHash, AccountName>,
-    models: BTreeMap<ModelName, PoolName>,
-    targets: BTreeMap<PoolName, BTreeSet<TargetName>>,
+    /// Index over the accounts in `resources`, by the hash of their API key.
+    account_by_key_hash: BTreeMap<KeyHash, AccountName>,
+    /// Index over the pools in `resources`, by the models that they serve.
+    pool_by_model: BTreeMap<ModelName, PoolName>,
+    /// Index over the targets in `resources`, by pool; a pool without targets has no entry.
+    targets_by_pool: BTreeMap<PoolName, BTreeSet<TargetName>>,
 }
 
 impl State {
-    /// Highest offset that is applied.
+    /// Returns the highest offset applied; 0 before the first record.
     pub fn applied(&self) -> Offset {
         self.applied
     }
 
-    /// Applies the next record; a record that isn't a change counts as rejected.
+    /// Applies the next record and returns the decision on it; a record that isn't a change is rejected.
+    /// Fails where `offset` isn't the one after the highest offset applied.
     pub fn apply(&mut self, offset: Offset, payload: &str) -> Result<Outcome, Error> {
         Ok(self.step(offset, payload)?.outcome)
     }
 
-    /// Applies the next record and tells what it did.
+    /// Applies the next record, as [`State::apply`] does, and returns its action along with the decision.
     pub fn step(&mut self, offset: Offset, payload: &str) -> Result<Step, Error> {
         if offset <= self.applied {
             return Err(Error::Stale(offset));
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Says what a change would come to if it were the next record; changes nothing.
+    /// Returns the decision that a change would get if it were the next record, without applying the change.
     pub fn preview(&self, change: &Change) -> Outcome {
         if let Some(outcome) = self.outcomes.repeat(change) {
             return outcome;
@@ -130,52 +135,53 @@
         if change.expected != stands {
             return Outcome::Conflict { stands };
         }
-        let findings = self.check(change);
+        let findings = self.findings_against(change);
         if findings.is_empty() {
             return Outcome::Accepted(self.applied + 1);
         }
         Outcome::Rejected(findings)
     }
 
-    /// What an earlier change came to.
+    /// Returns the decision on an earlier change; `None` where the id is unknown or its outcome is
+    /// no longer kept (see [`outcomes`]).
     pub fn outcome(&self, id: &ChangeId) -> Option<&Outcome> {
         self.outcomes.get(id)
     }
 
-    /// The version that stands; 0 where there is none.
+    /// Returns the current version of a resource; 0 where the resource doesn't exist.
     pub fn version(&self, key: &Key) -> Offset {
         self.resources.get(key).map_or(0, |versioned| versioned.version)
     }
 
-    /// One resource.
+    /// Returns a resource by its key.
     pub fn get(&self, key: &Key) -> Option<&Versioned> {
         self.resources.get(key)
     }
 
-    /// All resources of a kind, in the order of their names.
+    /// Returns all resources of a kind, ordered by name.
     pub fn list(&self, kind: Kind) -> impl Iterator<Item = &Versioned> {
         let first = Key { kind, name: String::new() };
-        let later = self.resources.range(first..);
-        later.take_while(move |(key, _)| key.kind == kind).map(|(_, versioned)| versioned)
+        let following = self.resources.range(first..);
+        following.take_while(move |(key, _)| key.kind == kind).map(|(_, versioned)| versioned)
     }
 
-    /// The resources of a kind whose names come after one, in the order of their names.
+    /// Returns the resources of a kind whose names sort after `name`, ordered by name.
     pub fn list_after(&self, kind: Kind, name: &str) -> impl Iterator<Item = &Versioned> {
         let from = Bound::Excluded(Key { kind, name: name.to_owned() });
         let after = self.resources.range((from, Bound::Unbounded));
         after.take_while(move |(key, _)| key.kind == kind).map(|(_, versioned)| versioned)
     }
 
-    /// The account that a key opens.
+    /// Returns the account whose API key has this hash.
     pub fn account_by_key(&self, hash: &KeyHash) -> Option<&Account> {
-        let name = self.accounts.get(hash)?;
+        let name = self.account_by_key_hash.get(hash)?;
         match &self.find(Kind::Account, name)?.resource {
             Resource::Account(account) => Some(account),
             _ => None,
         }
     }
 
-    /// A tier.
+    /// Returns a tier by its name.
     pub fn tier(&self, name: &str) -> Option<&Tier> {
         match &self.find(Kind::Tier, name)?.resource {
             Resource::Tier(tier) => Some(tier),
@@ -183,7 +189,7 @@
         }
     }
 
-    /// A pool.
+    /// Returns a pool by its name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         match &self.find(Kind::Pool, name)?.resource {
             Resource::Pool(pool) => Some(pool),
@@ -191,12 +197,12 @@
         }
     }
 
-    /// The pool that serves a model.
+    /// Returns the pool that serves a model.
     pub fn pool_of_model(&self, model: &str) -> Option<&Pool> {
-        self.pool(self.models.get(model)?)
+        self.pool(self.pool_by_model.get(model)?)
     }
 
-    /// A target.
+    /// Returns a target by its name.
     pub fn target(&self, name: &str) -> Option<&Target> {
         match &self.find(Kind::Target, name)?.resource {
             Resource::Target(target) => Some(target),
@@ -204,9 +210,9 @@
         }
     }
 
-    /// The targets of a pool, in the order of their names.
+    /// Returns the targets of a pool, ordered by name.
     pub fn targets(&self, pool: &str) -> impl Iterator<Item = &Target> {
-        let names = self.targets.get(pool).into_iter().flatten();
+        let names = self.targets_by_pool.get(pool).into_iter().flatten();
         names.filter_map(|name| self.target(name))
     }
 
@@ -214,6 +220,8 @@
         self.resources.get(&Key { kind, name: name.to_owned() })
     }
 
+    /// Decides a change at its offset, applies it where it is accepted and stores the outcome. A change whose
+    /// id was used before isn't applied: it gets the outcome of [`Outcomes::repeat`].
     fn decide(&mut self, offset: Offset, change: &Change) -> Outcome {
         if let Some(outcome) = self.outcomes.repeat(change) {
             return outcome;
@@ -223,13 +231,13 @@
             other => other,
         };
         if matches!(outcome, Outcome::Accepted(_)) {
-            self.put(offset, change.action.clone());
+            self.apply_action(offset, change.action.clone());
         }
         self.outcomes.insert(offset, change, outcome.clone());
         outcome
     }
 
-    fn put(&mut self, version: Offset, action: Action) {
+    fn apply_action(&mut self, version: Offset, action: Action) {
         let key = action.key();
         if let Some(old) = self.resources.remove(&key) {
             self.unindex(&old.resource);
@@ -243,15 +251,15 @@
     fn index(&mut self, resource: &Resource) {
         match resource {
             Resource::Account(account) => {
-                self.accounts.insert(account.key_hash.clone(), account.name.clone());
+                self.account_by_key_hash.insert(account.key_hash.clone(), account.name.clone());
             }
             Resource::Pool(pool) => {
                 for model in &pool.models {
-                    self.models.insert(model.clone(), pool.name.clone());
+                    self.pool_by_model.insert(model.clone(), pool.name.clone());
                 }
             }
             Resource::Target(target) => {
-                let names = self.targets.entry(target.pool.clone()).or_default();
+                let names = self.targets_by_pool.entry(target.pool.clone()).or_default();
                 names.insert(target.name.clone());
             }
             Resource::Tier(_) => {}
@@ -261,26 +269,27 @@
     fn unindex(&mut self, resource: &Resource) {
         match resource {
             Resource::Account(account) => {
-                self.accounts.remove(&account.key_hash);
+                self.account_by_key_hash.remove(&account.key_hash);
             }
             Resource::Pool(pool) => {
                 for model in &pool.models {
-                    self.models.remove(model);
+                    self.pool_by_model.remove(model);
                 }
             }
             Resource::Target(target) => {
-                let names = self.targets.entry(target.pool.clone()).or_default();
+                let names = self.targets_by_pool.entry(target.pool.clone()).or_default();
                 names.remove(&target.name);
                 if names.is_empty() {
-                    self.targets.remove(&target.pool);
+                    self.targets_by_pool.remove(&target.pool);
                 }
             }
             Resource::Tier(_) => {}
         }
     }
 
-    /// Every finding that speaks against a change on top of this state.
-    fn check(&self, change: &Change) -> Vec<Finding> {
+    /// Returns every reason to reject a change in this state; empty where the change is valid. The expected
+    /// version isn't checked here.
+    fn findings_against(&self, change: &Change) -> Vec<Finding> {
         let mut findings = Vec::new();
         if change.schema != SCHEMA {
             let message = format!("this process knows only schema {SCHEMA}");
@@ -288,19 +297,19 @@
         }
         match &change.action {
             Action::Put(resource) => {
-                findings.extend(values(resource));
-                findings.extend(self.references(resource));
+                findings.extend(value_findings(resource));
+                findings.extend(self.reference_findings(resource));
             }
-            Action::Delete(key) => findings.extend(self.dependants(key)),
+            Action::Delete(key) => findings.extend(self.dependent_findings(key)),
         }
         findings
     }
 
-    fn references(&self, resource: &Resource) -> Vec<Finding> {
+    fn reference_findings(&self, resource: &Resource) -> Vec<Finding> {
         match resource {
-            Resource::Account(account) => self.account_references(account),
-            Resource::Tier(tier) => self.rank_taken(tier),
-            Resource::Pool(pool) => self.models_taken(pool),
+            Resource::Account(account) => self.account_findings(account),
+            Resource::Tier(tier) => self.rank_findings(tier),
+            Resource::Pool(pool) => self.model_findings(pool),
             Resource::Target(target) if self.pool(&target.pool).is_none() => {
                 vec![Finding::new("pool", format!("there is no pool `{}`", target.pool))]
             }
@@ -308,7 +317,7 @@
         }
     }
 
-    fn account_references(&self, account: &Account) -> Vec<Finding> {
+    fn account_findings(&self, account: &Account) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (index, tier) in account.tiers.iter().enumerate() {
             if self.tier(tier).is_none() {
@@ -316,7 +325,7 @@
                 findings.push(Finding::new(place, format!("there is no tier `{tier}`")));
             }
         }
-        match self.accounts.get(&account.key_hash) {
+        match self.account_by_key_hash.get(&account.key_hash) {
             Some(other) if *other != account.name => {
                 findings.push(Finding::new("key_hash", format!("account `{other}` has this key")));
             }
@@ -325,7 +334,7 @@
         findings
     }
 
-    fn rank_taken(&self, tier: &Tier) -> Vec<Finding> {
+    fn rank_findings(&self, tier: &Tier) -> Vec<Finding> {
         let same_rank = |other: &&Versioned| match &other.resource {
             Resource::Tier(other) => other.rank == tier.rank && other.name != tier.name,
             _ => false,
@@ -337,10 +346,10 @@
         taken.map(report).into_iter().collect()
     }
 
-    fn models_taken(&self, pool: &Pool) -> Vec<Finding> {
+    fn model_findings(&self, pool: &Pool) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (index, model) in pool.models.iter().enumerate() {
-            match self.models.get(model) {
+            match self.pool_by_model.get(model) {
                 Some(other) if *other != pool.name => {
                     let place = format!("models[{index}]");
                     findings.push(Finding::new(place, format!("pool `{other}` serves this model")));
@@ -351,7 +360,7 @@
         findings
     }
 
-    fn dependants(&self, key: &Key) -> Vec<Finding> {
+    fn dependent_findings(&self, key: &Key) -> Vec<Finding> {
         let uses = |resource: &Resource| match (key.kind, resource) {
             (Kind::Tier, Resource::Account(account)) => account.tiers.contains(&key.name),
             (Kind::Pool, Resource::Target(target)) => target.pool == key.name,
@@ -366,26 +375,28 @@
     }
 }
 
-fn values(resource: &Resource) -> Vec<Finding> {
+fn value_findings(resource: &Resource) -> Vec<Finding> {
     let Err(report) = resource.validate() else {
         return Vec::new();
     };
     let finding = |(path, error): &(garde::Path, garde::Error)| {
         let path = path.to_string();
-        let place = path.strip_prefix(VARIANT).unwrap_or(&path);
+        let place = path.strip_prefix(VARIANT_PATH_PREFIX).unwrap_or(&path);
         Finding::new(place, error.message().to_string())
     };
     report.iter().map(finding).collect()
 }
 
-/// The tier that an account may use under this name, or its default.
+/// Returns the tier that a request of an account uses: the one it asked for, or the account's first tier
+/// where it asked for none. Fails where the account may not use that tier, has none at all, or the tier
+/// doesn't exist.
 pub fn allowed_tier<'a>(
     state: &'a State,
     account: &Account,
-    asked: Option<&TierName>,
+    requested: Option<&TierName>,
 ) -> Result<&'a Tier, Finding> {
     let place = "header.x-wagtailhill-tier";
-    let name = asked.or(account.tiers.first());
+    let name = requested.or(account.tiers.first());
     let name = name.ok_or_else(|| Finding::new(place, "the client account has no tier"))?;
     if !account.tiers.contains(name) {
         let allowed = account.tiers.join(", ");
--- a/components/scheduler/src/config/outcomes.rs
+++ b/components/scheduler/src/config/outcomes.rs
@@ -1,4 +1,5 @@
-//! What earlier changes came to, so that a repeat of a change id has no second effect.
+//! Outcomes of earlier changes, kept so that a change that is appended again under its id has no second
+//! effect.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +11,39 @@
 
 use super::Outcome;
 
-/// Offsets for which a change id is remembered: 7.5 hours at 52,000 changes a day.
+/// Number of offsets for which the outcome of a change is kept: 7.5 hours at 52,000 changes a day.
 pub const WINDOW: Offset = 16_384;
 
-/// What one change came to.
+/// The outcome of one change, as it is kept and stored in snapshots.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Remembered {
-    /// The change.
+pub struct RememberedOutcome {
+    /// Id of the change.
     pub id: ChangeId,
-    /// Offset at which it was decided.
+    /// Offset at which the change was decided.
     pub offset: Offset,
-    /// Start of the hash over its expected version and action; tells a repeat from another
-    /// change under the same id.
+    /// First 8 bytes of the BLAKE3 hash of the change's expected version and action. It distinguishes a retry
+    /// of the change from another change under the same id.
     pub fingerprint: u64,
-    /// What it came to.
+    /// The decision on the change.
     pub outcome: Outcome,
 }
 
-/// Outcomes of the changes within the last [`WINDOW`] offsets.
+/// Outcomes of the changes that were decided recently enough to be kept.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Outcomes {
-    by_id: BTreeMap<ChangeId, Remembered>,
-    /// The same by the offset at which each was decided.
+    by_id: BTreeMap<ChangeId, RememberedOutcome>,
+    /// Ids of the changes in `by_id`, by the offset at which each was decided.
     by_offset: BTreeMap<Offset, ChangeId>,
 }
 
 impl Outcomes {
-    /// What a change of this id came to.
+    /// Returns the outcome of the change with this id; `None` where the id is unknown or no longer kept.
     pub fn get(&self, id: &ChangeId) -> Option<&Outcome> {
         self.by_id.get(id).map(|remembered| &remembered.outcome)
     }
 
-    /// What a repeat comes to; `None` where the id is new.
+    /// Returns the outcome of a change whose id was used before: the earlier outcome for a retry of the same
+    /// change, a rejection for a different change. `None` where the id is new.
     pub fn repeat(&self, change: &Change) -> Option<Outcome> {
         let earlier = self.by_id.get(&change.id)?;
         if earlier.fingerprint == fingerprint(change) {
@@ -51,19 +53,19 @@
         Some(Outcome::Rejected(vec![Finding::new("id", message)]))
     }
 
-    /// Remembers a decided change.
+    /// Stores the outcome of a change that was decided at `offset`.
     pub fn insert(&mut self, offset: Offset, change: &Change, outcome: Outcome) {
         let fingerprint = fingerprint(change);
-        self.restore(Remembered { id: change.id, offset, fingerprint, outcome });
+        self.restore(RememberedOutcome { id: change.id, offset, fingerprint, outcome });
     }
 
-    /// Takes one outcome of a snapshot back in.
-    pub fn restore(&mut self, remembered: Remembered) {
+    /// Adds one outcome from a snapshot.
+    pub fn restore(&mut self, remembered: RememberedOutcome) {
         self.by_offset.insert(remembered.offset, remembered.id);
         self.by_id.insert(remembered.id, remembered);
     }
 
-    /// Forgets what is older than the window.
+    /// Removes the outcomes that are no longer kept once `applied` is the highest offset applied.
     pub fn trim(&mut self, applied: Offset) {
         while let Some(oldest) = self.by_offset.first_entry() {
             if oldest.key() + WINDOW > applied {
@@ -73,15 +75,16 @@
         }
     }
 
-    /// All outcomes, oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &Remembered> {
+    /// Returns all outcomes, oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = &RememberedOutcome> {
         self.by_offset.values().filter_map(|id| self.by_id.get(id))
     }
 }
 
+/// Computes [`RememberedOutcome::fingerprint`].
 fn fingerprint(change: &Change) -> u64 {
     let text = serde_json::to_vec(&(change.expected, &change.action)).expect("a change is JSON");
-    let mut word = [0; size_of::<u64>()];
-    blake3::Hasher::new().update(&text).finalize_xof().fill(&mut word);
-    u64::from_le_bytes(word)
+    let mut prefix = [0; size_of::<u64>()];
+    blake3::Hasher::new().update(&text).finalize_xof().fill(&mut prefix);
+    u64::from_le_bytes(prefix)
 }
--- a/components/scheduler/src/config/snapshot.rs
+++ b/components/scheduler/src/config/snapshot.rs
@@ -1,42 +1,42 @@
-//! The configuration as of one offset, in a form that can be kept and sent.
+//! Snapshots of the configuration as of one offset, which are stored and sent between processes.
 
 use model::id::Offset;
 use serde::{Deserialize, Serialize};
 
-use super::{Error, State, Versioned, outcomes::Remembered};
+use super::{Error, State, Versioned, outcomes::RememberedOutcome};
 
-/// Version of the snapshot's own form; a reader refuses one that it doesn't know.
+/// Version of the snapshot format; a reader rejects a snapshot of any other version.
 pub const SCHEMA: u32 = 1;
 
-/// Everything that the fold knows as of one offset; equal states give equal snapshots.
+/// The whole [`State`] as of one offset; equal states give equal snapshots.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Form of this snapshot; see [`SCHEMA`].
+    /// Version of the snapshot format; see [`SCHEMA`].
     pub schema: u32,
-    /// Highest offset that is applied in it.
+    /// Highest offset applied to the state when the snapshot was taken.
     pub applied: Offset,
-    /// All resources, in the order of their keys.
+    /// All resources, ordered by key.
     pub resources: Vec<Versioned>,
-    /// Outcomes that are still remembered, oldest first.
-    pub outcomes: Vec<Remembered>,
+    /// Outcomes of recent changes that the state still keeps, oldest first.
+    pub outcomes: Vec<RememberedOutcome>,
 }
 
 impl Snapshot {
-    /// Writes it as JSON.
+    /// Returns the snapshot as JSON.
     pub fn render(&self) -> String {
         serde_json::to_string(self).expect("a snapshot is JSON")
     }
 }
 
-/// Reads a snapshot; `None` where the text isn't one of a form that this process knows.
+/// Parses a snapshot; `None` where the text isn't a snapshot of format version [`SCHEMA`].
 pub fn parse(text: &str) -> Option<Snapshot> {
     let snapshot: Snapshot = serde_json::from_str(text).ok()?;
     (snapshot.schema == SCHEMA).then_some(snapshot)
 }
 
 impl State {
-    /// Takes a snapshot.
+    /// Returns a snapshot of this state.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             schema: SCHEMA,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Steps forward to a snapshot's offset; a snapshot that isn't ahead changes nothing.
+    /// Replaces this state by a snapshot's, which must be of a higher offset. A snapshot that isn't ahead
+    /// changes nothing and returns [`Error::Stale`].
     pub fn restore(&mut self, snapshot: Snapshot) -> Result<(), Error> {
         if snapshot.applied <= self.applied {
             return Err(Error::Stale(snapshot.applied));
--- a/components/scheduler/src/lib.rs
+++ b/components/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! All decisions, as reducers without I/O, clock or randomness of their own.
+//! All decisions of the system, written as reducers that do no I/O and read no clock or random numbers.
 //!
-//! A reducer takes its state, the time and one event, and gives effects as data. Whoever drives
-//! it carries the effects out and feeds their results back as events.
+//! A reducer takes its state, the current time and one event, and returns the effects as data. The calling
+//! process executes the effects and passes their results back to the reducer as events.
 
 pub mod agent;
 pub mod claim;
