--- a/components/scheduler/src/limit.rs
+++ b/components/scheduler/src/limit.rs
@@ -1,89 +1,98 @@
-//! Limits of a client account: requests in progress and requests a second.
+//! Limits of a client account: its concurrent requests and its requests per second.
 //!
-//! An account's limit holds over all entry processes. Each applies an equal share of it, since
-//! the balancer spreads an account's requests evenly; nothing is exchanged between them.
+//! An account's limit applies to all entry processes together. Each process enforces an equal share of it
+//! without exchanging anything with the others, since the load balancer spreads an account's requests evenly
+//! over them.
 
 use std::time::{Duration, Instant};
 
 use model::resource::Limit;
 
-/// How much of a second's allowance an account may use at once.
+/// Time whose requests, at the account's rate, may start at once; where that is less than one request, one
+/// may.
 const BURST: Duration = Duration::from_secs(1);
-/// Wait that is advised where the concurrency limit is reached.
-const CONCURRENCY_RETRY: Duration = Duration::from_millis(250);
-/// Longest wait that is advised.
-const RETRY_MAX: Duration = Duration::from_secs(30);
+/// Retry delay given to a caller that the concurrency limit rejects.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Longest retry delay given to a caller that the rate limit rejects.
+const RATE_RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// What one process lets an account use.
+/// The part of an account's limit that one process enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Requests in progress or waiting; at least 1.
+    /// Most requests of the account that may run or wait in this process at a time; at least 1.
     pub concurrency: u32,
-    /// Requests a second; above 0.
-    pub rate: f64,
+    /// Requests per second that this process admits; above 0.
+    pub requests_per_second: f64,
 }
 
-/// What an account uses in this process.
+/// An account's current use of its limit in this process: a count of its requests and a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Requests in progress or waiting.
-    pub open: u32,
-    /// Requests that may still start at once; between 0 and what `BURST` brings, at least 1.
-    allowance: f64,
-    refilled: Instant,
-    /// When the next refused caller is told to come back.
-    next: Instant,
+    /// Requests of the account that run or wait in this process.
+    pub open_requests: u32,
+    /// Tokens in the bucket; each admitted request takes one. The bucket holds the requests of `BURST`, at
+    /// least 1.
+    tokens: f64,
+    /// When tokens were last added.
+    refilled_at: Instant,
+    /// The latest time at which a caller that the rate limit rejected was asked to retry.
+    latest_retry_at: Instant,
 }
 
-/// Gives the usage of an account that hasn't asked yet.
+/// Returns the usage of an account that has sent no request yet; its token bucket is full.
 pub fn open(now: Instant) -> Usage {
-    Usage { open: 0, allowance: f64::MAX, refilled: now, next: now }
+    Usage { open_requests: 0, tokens: f64::MAX, refilled_at: now, latest_retry_at: now }
 }
 
-/// The share of a limit that one of so many entry processes applies.
+/// Returns the share of a limit that each of `entries` entry processes enforces; 0 entries count as 1. The
+/// concurrency is rounded up.
 pub fn share(limit: Limit, entries: u32) -> Share {
     let entries = entries.max(1);
     Share {
         concurrency: limit.concurrency.div_ceil(entries),
-        rate: f64::from(limit.requests_per_second) / f64::from(entries),
+        requests_per_second: f64::from(limit.requests_per_second) / f64::from(entries),
     }
 }
 
 impl Usage {
-    /// Takes one request in, or says how long to wait.
+    /// Admits one request, or returns the delay after which the caller should retry. `None` as the share
+    /// means that the account has no limit.
     pub fn admit(&mut self, now: Instant, share: Option<Share>) -> Result<(), Duration> {
         if let Some(share) = share {
-            self.check(now, share)?;
+            self.take_token(now, share)?;
         }
-        self.open += 1;
+        self.open_requests += 1;
         Ok(())
     }
 
-    /// Gives back the place of a request that ended.
+    /// Releases the concurrency slot of a request that ended.
     pub fn release(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.open_requests = self.open_requests.saturating_sub(1);
     }
 
-    fn check(&mut self, now: Instant, share: Share) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.refilled).as_secs_f64();
-        let most = (share.rate * BURST.as_secs_f64()).max(1.0);
-        self.allowance = (self.allowance + passed * share.rate).min(most);
-        self.refilled = now;
-        if self.open >= share.concurrency {
-            return Err(CONCURRENCY_RETRY);
+    /// Refills the token bucket, then takes a token or returns the retry delay.
+    fn take_token(&mut self, now: Instant, share: Share) -> Result<(), Duration> {
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let capacity = (share.requests_per_second * BURST.as_secs_f64()).max(1.0);
+        self.tokens = (self.tokens + elapsed * share.requests_per_second).min(capacity);
+        self.refilled_at = now;
+        if self.open_requests >= share.concurrency {
+            return Err(CONCURRENCY_RETRY_AFTER);
         }
-        if self.allowance < 1.0 {
-            return Err(self.advise(now, share));
+        if self.tokens < 1.0 {
+            return Err(self.retry_after(now, share));
         }
-        self.allowance -= 1.0;
+        self.tokens -= 1.0;
         Ok(())
     }
 
-    /// Callers are told to come back one after another, at the rate that the limit allows, so
-    /// that they don't all come back for the same place.
-    fn advise(&mut self, now: Instant, share: Share) -> Duration {
-        let gap = Duration::from_secs_f64(1.0 / share.rate).min(RETRY_MAX);
-        self.next = (self.next.max(now) + gap).min(now + RETRY_MAX);
-        self.next - now
+    /// Returns the retry delay of a caller that the rate limit rejects. Rejected callers get retry times one
+    /// after another at the rate of the limit, so that they don't all retry at once for the same token.
+    fn retry_after(&mut self, now: Instant, share: Share) -> Duration {
+        let spacing =
+            Duration::from_secs_f64(1.0 / share.requests_per_second).min(RATE_RETRY_AFTER_MAX);
+        self.latest_retry_at =
+            (self.latest_retry_at.max(now) + spacing).min(now + RATE_RETRY_AFTER_MAX);
+        self.latest_retry_at - now
     }
 }
--- a/components/scheduler/src/rate.rs
+++ b/components/scheduler/src/rate.rs
@@ -1,83 +1,93 @@
-//! Rate limits that targets name in their answers.
+//! Rate limits that targets state in their answers.
 //!
-//! A target in need names the requests a second that it takes from all processes together, in each
-//! answer for as long as that holds.
+//! An overloaded target states how many requests per second it accepts from all processes together. It
+//! repeats the limit in each answer for as long as the limit applies.
 
 use std::time::{Duration, Instant};
 
-/// Longest interval that a limit asks for: without a request now and then nobody would learn that it is
-/// gone.
+/// Longest interval between two requests to a limited target. Only the answer to a request shows that the
+/// limit is lifted, so requests must not stop altogether.
 const INTERVAL_MAX: Duration = Duration::from_secs(5);
-/// Time after an answer that named a limit in which a request is still too early to show that it is gone:
-/// its answer may have crossed others.
-const SETTLED: Duration = Duration::from_secs(1);
+/// Shortest time from an answer that stated a limit to the dispatch of a request whose answer, without a
+/// limit, shows that the limit is lifted. Answers can arrive in another order than the target sent them, so
+/// the answer to an earlier request may predate the limit.
+const LIFT_DELAY: Duration = Duration::from_secs(1);
 
-/// Time whose requests may come at once: they come in clumps.
+/// Time whose requests, at the limit's rate, may be sent at once, since requests arrive in bursts.
 const BURST: Duration = Duration::from_millis(250);
 
-/// What was last heard of a target's limit.
+/// The latest information on a target's rate limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct News {
-    /// Mean time between two requests; `None` where the limit is gone.
+    /// Mean interval between two requests; `None` where the limit is lifted.
     pub interval: Option<Duration>,
-    /// When it was heard.
+    /// When the answer that showed this arrived.
     pub at: Instant,
 }
 
-/// The mean time between two requests at so many a second.
+/// Returns the mean interval between two requests at a rate per second, at most `INTERVAL_MAX`. A rate
+/// of zero, a negative rate and NaN give `INTERVAL_MAX`.
 pub fn interval(per_second: f64) -> Duration {
     Duration::try_from_secs_f64(per_second.recip())
-        .map_or(INTERVAL_MAX, |time| time.min(INTERVAL_MAX))
+        .map_or(INTERVAL_MAX, |interval| interval.min(INTERVAL_MAX))
 }
 
-/// The requests a second at so long a mean time between two.
+/// Returns the requests per second at a mean interval between two requests.
 pub fn per_second(interval: Duration) -> f64 {
     interval.as_secs_f64().recip()
 }
 
 impl News {
-    /// Whether an answer that names no limit shows that this one is gone.
+    /// Returns whether this limit is lifted, given that the answer to a request dispatched at `dispatched`
+    /// states no limit. It isn't where the request was dispatched within `LIFT_DELAY` of the limit.
     pub fn is_over(&self, dispatched: Instant) -> bool {
-        self.interval.is_some() && dispatched >= self.at + SETTLED
+        self.interval.is_some() && dispatched >= self.at + LIFT_DELAY
     }
 }
 
-/// Spaces requests by a mean interval (the generic cell rate algorithm).
+/// Spaces requests by a mean interval and allows short bursts (the generic cell rate algorithm).
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
+    /// Mean interval between two requests.
     interval: Duration,
-    /// When all that was let through would have come at the mean interval.
-    due: Instant,
+    /// The theoretical arrival time: when the next request would be due if all requests so far had been sent
+    /// at the mean interval.
+    theoretical_arrival: Instant,
 }
 
 impl Pacer {
-    /// One that has let through all that it may: what came before isn't known.
+    /// Creates a pacer that allows the first request after one interval: requests that were sent before
+    /// aren't known, so the burst counts as used.
     pub fn open(now: Instant, interval: Duration) -> Pacer {
-        let pacer = Pacer { interval, due: now };
-        Pacer { due: now + interval + pacer.slack(), ..pacer }
+        let pacer = Pacer { interval, theoretical_arrival: now };
+        Pacer { theoretical_arrival: now + interval + pacer.burst_tolerance(), ..pacer }
     }
 
-    /// Spaces the next requests by another interval.
+    /// Changes the mean interval of the following requests.
     pub fn set(&mut self, interval: Duration) {
         self.interval = interval;
     }
 
-    /// When the next request may come.
+    /// Returns the earliest time at which the next request may be sent; it may be in the past.
     pub fn next(&self) -> Instant {
-        self.due.checked_sub(self.slack()).unwrap_or(self.due)
+        self.theoretical_arrival
+            .checked_sub(self.burst_tolerance())
+            .unwrap_or(self.theoretical_arrival)
     }
 
-    /// Lets a request through.
+    /// Counts a request that is sent now.
     pub fn take(&mut self, now: Instant) {
-        self.due = self.due.max(now) + self.interval;
+        self.theoretical_arrival = self.theoretical_arrival.max(now) + self.interval;
     }
 
-    /// Gives back what a request that didn't come took.
+    /// Undoes [`Pacer::take`] for a request that wasn't sent after all.
     pub fn give_back(&mut self) {
-        self.due = self.due.checked_sub(self.interval).unwrap_or(self.due);
+        self.theoretical_arrival =
+            self.theoretical_arrival.checked_sub(self.interval).unwrap_or(self.theoretical_arrival);
     }
 
-    fn slack(&self) -> Duration {
+    /// Returns how far ahead of its theoretical arrival time a request may be sent.
+    fn burst_tolerance(&self) -> Duration {
         BURST.saturating_sub(self.interval)
     }
 }
--- a/components/scheduler/src/suspect.rs
+++ b/components/scheduler/src/suspect.rs
@@ -1,7 +1,8 @@
-//! The fold over the stream of crashes: which bodies are suspected, and which are quarantined.
+//! Request bodies that are suspected or quarantined, computed from the log of engine crashes.
 //!
-//! Every body that ran when an engine died is suspected. A suspected body runs alone, so that its
-//! neighbours aren't blamed: if the engine dies again it is quarantined, else it is cleared.
+//! Every body that ran when an engine crashed becomes suspected. A suspected body runs alone on its target,
+//! so that a second crash isn't blamed on other bodies: if the engine crashes again the body is quarantined,
+//! otherwise it is cleared.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,49 +11,51 @@
     suspect::{Action, Crash, Record, SCHEMA},
 };
 
-/// Most bodies that are remembered; the oldest are forgotten first.
-pub const LIMIT: usize = 100_000;
+/// Most bodies that are kept; those that became suspected earliest are removed first.
+pub const MAX_BODIES: usize = 100_000;
 
-/// What is held against a body.
+/// How a request body is classified because of crashes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Standing {
-    /// It ran when an engine died.
+    /// The body ran when an engine crashed; it may only run alone.
     Suspected,
-    /// An engine died while it ran alone.
+    /// An engine crashed while the suspected body ran alone; it must not run again.
     Quarantined,
 }
 
-/// The bodies that something is held against, as of one offset.
+/// The suspected and quarantined bodies as of one offset of the crash log.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
+    /// Highest offset applied; 0 before the first record.
     applied: Offset,
+    /// Suspected and quarantined bodies; a body that isn't here is neither.
     standings: BTreeMap<Fingerprint, Standing>,
-    /// The same bodies in the order in which they were first suspected, perhaps with others that
-    /// were cleared.
-    order: VecDeque<Fingerprint>,
+    /// Fingerprints in the order in which they became suspected. All bodies in `standings` are here; bodies
+    /// that have been cleared since stay, and a body that was suspected again after that is here twice.
+    suspicion_order: VecDeque<Fingerprint>,
 }
 
 impl State {
-    /// What is held against a body; `None` where nothing is.
+    /// Returns how a body is classified; `None` where it is neither suspected nor quarantined.
     pub fn standing(&self, body: Fingerprint) -> Option<Standing> {
         self.standings.get(&body).copied()
     }
 
-    /// Applies a record; one that was applied or can't be read changes nothing. A gap loses
-    /// suspicions and invents none.
+    /// Applies a record. A record that was applied before or can't be parsed changes nothing. Offsets may be
+    /// skipped: a missing record can lose a suspicion but never adds one.
     pub fn apply(&mut self, offset: Offset, payload: &str) {
         if offset <= self.applied {
             return;
         }
         self.applied = offset;
         if let Ok(Record { schema: SCHEMA, action }) = serde_json::from_str(payload) {
-            self.take(action);
+            self.apply_action(action);
         }
     }
 
-    fn take(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Crash(crash) => self.crash(&crash),
+            Action::Crash(crash) => self.apply_crash(&crash),
             Action::Clear(clear) => {
                 if self.standing(clear.fingerprint) == Some(Standing::Suspected) {
                     self.standings.remove(&clear.fingerprint);
@@ -61,7 +64,8 @@
         }
     }
 
-    fn crash(&mut self, crash: &Crash) {
+    /// Suspects the bodies that ran at a crash, or quarantines a suspected body that ran alone.
+    fn apply_crash(&mut self, crash: &Crash) {
         for body in &crash.running {
             match self.standing(*body) {
                 Some(Standing::Suspected) if crash.alone => {
@@ -70,12 +74,12 @@
                 Some(_) => {}
                 None => {
                     self.standings.insert(*body, Standing::Suspected);
-                    self.order.push_back(*body);
+                    self.suspicion_order.push_back(*body);
                 }
             }
         }
-        while self.order.len() > LIMIT {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.suspicion_order.len() > MAX_BODIES {
+            if let Some(oldest) = self.suspicion_order.pop_front() {
                 self.standings.remove(&oldest);
             }
         }
