--- a/components/scheduler/tests/config.rs
+++ b/components/scheduler/tests/config.rs
@@ -1,4 +1,4 @@
-//! The fold over the configuration stream.
+//! Tests of applying configuration records in order: conflicts, retries, rejections and snapshots.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_one_conflicts() {
+fn of_two_concurrent_changes_one_is_accepted_and_one_conflicts() {
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
@@ -41,21 +41,22 @@
     assert_eq!(state.tier("crew").unwrap().rank, 1);
 }
 
+// An operator whose answer is lost appends the same change again, possibly after other changes.
 #[test]
-fn a_repeated_change_has_no_second_effect() {
+fn a_retried_change_has_no_second_effect() {
     let mut state = State::default();
     let create = put(1, tier("crew", 0), 0);
     state.apply(1, &create).unwrap();
     state.apply(2, &record(2, Action::Delete(key("crew")), 1)).unwrap();
 
-    let repeat = state.apply(3, &create).unwrap();
+    let retry = state.apply(3, &create).unwrap();
 
-    assert_eq!(repeat, Outcome::Accepted(1));
+    assert_eq!(retry, Outcome::Accepted(1));
     assert!(state.tier("crew").is_none());
 }
 
 #[test]
-fn a_process_never_steps_back_or_skips() {
+fn records_are_never_applied_twice_or_skipped() {
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
@@ -67,8 +68,9 @@
     assert_eq!(state.tier("crew").unwrap().rank, 0);
 }
 
+// A record that can't be parsed must not stop every process from applying the records after it.
 #[test]
-fn a_record_that_is_no_change_is_rejected_and_passed() {
+fn a_record_that_is_not_a_change_is_rejected_and_its_offset_applied() {
     let mut state = State::default();
 
     let outcome = state.apply(1, "{\"schema\": 1}").unwrap();
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn references_and_ranks_are_checked_together() {
+fn a_rejection_lists_invalid_values_and_taken_ranks_together() {
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
@@ -90,35 +92,35 @@
 }
 
 #[test]
-fn a_change_id_used_for_another_change_is_rejected() {
+fn a_change_id_reused_for_another_change_is_rejected() {
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
-    let other = state.apply(2, &put(1, tier("desk", 1), 0)).unwrap();
+    let outcome = state.apply(2, &put(1, tier("desk", 1), 0)).unwrap();
 
-    let Outcome::Rejected(findings) = other else { panic!("{other:?}") };
+    let Outcome::Rejected(findings) = outcome else { panic!("{outcome:?}") };
     assert_eq!(findings[0].place, "id");
     assert!(state.tier("desk").is_none());
 }
 
 #[test]
-fn outcomes_are_remembered_for_a_window_and_no_longer() {
+fn outcomes_are_kept_for_a_window_and_no_longer() {
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
     for offset in 2..=WINDOW {
         state.apply(offset, "no change").unwrap();
     }
-    let within = state.outcome(&Uuid::from_u128(1)).cloned();
+    let outcome_within_window = state.outcome(&Uuid::from_u128(1)).cloned();
     state.apply(WINDOW + 1, "no change").unwrap();
 
-    assert_eq!(within, Some(Outcome::Accepted(1)));
+    assert_eq!(outcome_within_window, Some(Outcome::Accepted(1)));
     assert_eq!(state.outcome(&Uuid::from_u128(1)), None);
     assert!(state.snapshot().outcomes.is_empty());
 }
 
 #[test]
-fn a_snapshot_never_steps_a_process_back() {
+fn a_snapshot_that_is_not_ahead_is_not_restored() {
     let mut old = State::default();
     old.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
     let mut state = State::default();
@@ -132,11 +134,11 @@
 }
 
 #[test]
-fn a_snapshot_of_an_unknown_form_is_not_read() {
+fn a_snapshot_of_an_unknown_format_is_not_parsed() {
     let mut snapshot = State::default().snapshot();
     snapshot.schema += 1;
 
-    let read = snapshot::parse(&snapshot.render());
+    let parsed = snapshot::parse(&snapshot.render());
 
-    assert_eq!(read, None);
+    assert_eq!(parsed, None);
 }
