--- a/components/scheduler/tests/config_naive.rs
+++ b/components/scheduler/tests/config_naive.rs
@@ -1,4 +1,5 @@
-//! The fold against a naive version that keeps a plain list and searches it for everything.
+//! Compares `config::State` with a naive model that keeps resources and changes in plain lists, without
+//! indices.
 
 use std::{env, time::Duration};
 
@@ -17,29 +18,33 @@
 use uuid::Uuid;
 
 const SEED: u64 = 4_207;
-const CASES: u32 = 256;
+const DEFAULT_CASES: u32 = 256;
 
-/// What a change came to, without the words of its findings.
+/// The decision on a change, without its findings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Verdict {
+    /// The change is in force from this offset on.
     Accepted(Offset),
+    /// The current version of the resource, which differs from the expected one.
     Conflict(Offset),
     Rejected,
 }
 
-/// Keeps everything, indexes nothing, forgets nothing.
+/// The naive model: it has no indices and keeps the outcome of every change.
 #[derive(Default)]
-struct Naive {
+struct NaiveConfig {
+    /// All resources with their versions.
     resources: Vec<(Offset, Resource)>,
+    /// All changes with the decisions on them, oldest first.
     decided: Vec<(Change, Verdict)>,
 }
 
-impl Naive {
+impl NaiveConfig {
     fn apply(&mut self, offset: Offset, change: &Change) -> Verdict {
         if let Some((earlier, verdict)) = self.decided.iter().find(|(c, _)| c.id == change.id) {
             return if earlier == change { *verdict } else { Verdict::Rejected };
         }
-        let verdict = self.judge(offset, change);
+        let verdict = self.decide(offset, change);
         if verdict == Verdict::Accepted(offset) {
             self.resources.retain(|(_, resource)| resource.key() != change.action.key());
             if let Action::Put(resource) = &change.action {
@@ -50,26 +55,26 @@
         verdict
     }
 
-    fn judge(&self, offset: Offset, change: &Change) -> Verdict {
+    fn decide(&self, offset: Offset, change: &Change) -> Verdict {
         let key = change.action.key();
-        let standing = self.resources.iter().find(|(_, resource)| resource.key() == key);
-        let stands = standing.map_or(0, |(version, _)| *version);
-        if stands != change.expected {
-            return Verdict::Conflict(stands);
+        let existing = self.resources.iter().find(|(_, resource)| resource.key() == key);
+        let current = existing.map_or(0, |(version, _)| *version);
+        if current != change.expected {
+            return Verdict::Conflict(current);
         }
-        let sound = match &change.action {
-            Action::Put(resource) => self.is_sound(resource),
-            Action::Delete(key) => !self.others().any(|resource| uses(resource, key)),
+        let is_valid = match &change.action {
+            Action::Put(resource) => self.is_valid(resource),
+            Action::Delete(key) => !self.resources().any(|resource| uses(resource, key)),
         };
-        if sound { Verdict::Accepted(offset) } else { Verdict::Rejected }
+        if is_valid { Verdict::Accepted(offset) } else { Verdict::Rejected }
     }
 
-    fn is_sound(&self, resource: &Resource) -> bool {
+    fn is_valid(&self, resource: &Resource) -> bool {
         let name = resource.key().name;
-        let named = name.chars().all(|c| c.is_ascii_lowercase());
-        let exists = |kind, name: &str| self.others().any(|r| r.key() == key(kind, name));
-        let mut others = self.others().filter(|other| other.key() != resource.key());
-        named
+        let is_name_valid = name.chars().all(|c| c.is_ascii_lowercase());
+        let exists = |kind, name: &str| self.resources().any(|r| r.key() == key(kind, name));
+        let mut others = self.resources().filter(|other| other.key() != resource.key());
+        is_name_valid
             && match resource {
                 Resource::Account(account) => {
                     account.tiers.iter().all(|tier| exists(Kind::Tier, tier))
@@ -82,7 +87,7 @@
             }
     }
 
-    fn others(&self) -> impl Iterator<Item = &Resource> {
+    fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.resources.iter().map(|(_, resource)| resource)
     }
 }
@@ -107,6 +112,7 @@
     Key { kind, name: name.to_owned() }
 }
 
+/// Generates a name that is valid in nine of ten cases.
 fn name() -> impl Strategy<Value = String> {
     prop_oneof![9 => prop::sample::select(vec!["a", "b", "c"]), 1 => Just("Bad")]
         .prop_map(str::to_owned)
@@ -114,9 +120,9 @@
 
 fn resource() -> impl Strategy<Value = Resource> {
     let account =
-        (name(), 0..3_u8, prop::collection::vec(name(), 1..3)).prop_map(|(name, k, t)| {
-            let key_hash = credential::hash(&k.to_string());
-            Resource::Account(Account { name, key_hash, tiers: t, limit: None })
+        (name(), 0..3_u8, prop::collection::vec(name(), 1..3)).prop_map(|(name, key, tiers)| {
+            let key_hash = credential::hash(&key.to_string());
+            Resource::Account(Account { name, key_hash, tiers, limit: None })
         });
     let tier = (name(), 0..3_u8).prop_map(|(name, rank)| {
         Resource::Tier(Tier { name, rank, deadline: Duration::from_secs(1) })
@@ -138,7 +144,7 @@
     serde_json::from_value(value).unwrap()
 }
 
-/// A change; `None` as the expected version stands for the one that stands.
+/// A generated change. `expected` is the expected version; `None` means the resource's current version.
 #[derive(Clone, Debug)]
 struct Draft {
     id: u128,
@@ -155,6 +161,7 @@
     (id, expected, action).prop_map(|(id, expected, action)| Draft { id, expected, action })
 }
 
+/// Turns a draft into a change, with the expected version filled in from `state`.
 fn change(state: &State, draft: Draft) -> Change {
     let expected = draft.expected.unwrap_or_else(|| state.version(&draft.action.key()));
     Change { schema: SCHEMA, id: Uuid::from_u128(draft.id), expected, action: draft.action }
@@ -168,7 +175,8 @@
     }
 }
 
-fn listed(state: &State) -> Vec<(Offset, Resource)> {
+/// Returns all resources of `state` with their versions, ordered by version.
+fn resources_by_version(state: &State) -> Vec<(Offset, Resource)> {
     let kinds = [Kind::Account, Kind::Tier, Kind::Pool, Kind::Target];
     let all = kinds.into_iter().flat_map(|kind| state.list(kind));
     let mut all: Vec<_> = all.map(|found| (found.version, found.resource.clone())).collect();
@@ -179,7 +187,7 @@
 fn config() -> Config {
     let cases = env::var("WAGTAILHILL_CASES").ok().and_then(|text| text.parse().ok());
     Config {
-        cases: cases.unwrap_or(CASES),
+        cases: cases.unwrap_or(DEFAULT_CASES),
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(SEED),
         ..Config::default()
@@ -189,21 +197,24 @@
 proptest! {
     #![proptest_config(config())]
 
+    // Guards against indices that no longer match the resources, also after a restore: `restarted` restores a
+    // snapshot of `state` at each of the first `snapshot_count` changes and applies the changes after them
+    // itself.
     #[test]
-    fn the_fold_decides_as_the_naive_version_does(
+    fn the_configuration_decides_as_the_naive_model_does(
         drafts in prop::collection::vec(draft(), 1..60),
-        cut in 0..60_usize,
+        snapshot_count in 0..60_usize,
     ) {
         let mut state = State::default();
         let mut restarted = State::default();
-        let mut naive = Naive::default();
+        let mut naive = NaiveConfig::default();
 
         for (index, draft) in drafts.into_iter().enumerate() {
             let change = change(&state, draft);
             let offset = index as Offset + 1;
             let record = serde_json::to_string(&change).unwrap();
             let outcome = state.apply(offset, &record).unwrap();
-            if index < cut {
+            if index < snapshot_count {
                 restarted = State::default();
                 restarted.restore(state.snapshot()).unwrap();
             } else {
@@ -213,7 +224,7 @@
         }
 
         naive.resources.sort_by_key(|(version, _)| *version);
-        prop_assert_eq!(listed(&state), naive.resources);
+        prop_assert_eq!(resources_by_version(&state), naive.resources);
         prop_assert_eq!(restarted, state);
     }
 }
