--- a/components/scheduler/tests/support/mod.rs
+++ b/components/scheduler/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Membership records for tests.
+//! Membership records and property test settings that several tests share.
 
 #![allow(dead_code)]
 
@@ -15,39 +15,41 @@
 
 const SEED: u64 = 7;
 
-/// The clock of all processes at the start of a test.
+/// Returns the wall clock time of all processes at the start of a test.
 pub fn epoch_clock() -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_800_000_000)
 }
 
-/// The same cases every time; `WAGTAILHILL_CASES` asks for more.
+/// Returns a proptest configuration with a fixed seed. The environment variable `WAGTAILHILL_CASES` sets the
+/// number of cases; without it, or where it isn't a number, `default` cases run.
 pub fn cases(default: u32) -> Config {
-    let asked = std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok());
+    let requested = std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok());
     Config {
-        cases: asked.unwrap_or(default),
+        cases: requested.unwrap_or(default),
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(SEED),
         ..Config::default()
     }
 }
 
-/// Name of a test's target.
+/// Returns the name of the target with this index.
 pub fn target(index: usize) -> String {
     format!("target-{index}")
 }
 
-/// Id of a run.
+/// Returns the incarnation id with this number.
 pub fn run(number: u128) -> IncarnationId {
     Uuid::from_u128(number)
 }
 
-/// A join at the port that a target's agents share.
+/// Returns a join record of incarnation `number`, at the control port that all incarnations of a target's
+/// agent share.
 pub fn join(index: usize, number: u128, at: SystemTime) -> String {
     let port = 1_000 + u16::try_from(index).unwrap();
     join_at_port(index, number, at, port)
 }
 
-/// A join at a port of its own.
+/// Returns a join record of incarnation `number` at the given control port.
 pub fn join_at_port(index: usize, number: u128, at: SystemTime, port: u16) -> String {
     let join = Join {
         target: target(index),
@@ -58,12 +60,14 @@
     render(at, Action::Join(join))
 }
 
-/// A leave.
+/// Returns a leave record that an agent appends for itself. `handed_over` is the membership epoch by which
+/// its claims were handed over; `None` where they weren't.
 pub fn leave(index: usize, number: u128, handed_over: Option<Offset>, at: SystemTime) -> String {
     leave_with(index, number, handed_over, true, at)
 }
 
-/// A leave that another process appends, which can't know whether the run is over.
+/// Returns a leave record that another process appends for an agent that it considers lost; it can't know
+/// whether the incarnation has ended.
 pub fn removal(index: usize, number: u128, at: SystemTime) -> String {
     leave_with(index, number, None, false, at)
 }
--- a/components/scheduler/tests/world/fixture.rs
+++ b/components/scheduler/tests/world/fixture.rs
@@ -1,4 +1,4 @@
-//! Resources and requests of the world.
+//! Resources and requests of the simulated platform.
 
 use std::time::Duration;
 
@@ -12,14 +12,16 @@
 use scheduler::entry::{Call, Request};
 use uuid::Uuid;
 
-use super::{CONTROL_PORT, TARGETS, TIERS, TRAFFIC_PORT, name};
+use super::{CONTROL_PORT, TARGETS, TIERS, TRAFFIC_PORT, target_name};
 
-pub fn create(resource: Resource) -> String {
+/// Returns a configuration record that creates a resource.
+pub fn create_record(resource: Resource) -> String {
     let action = Action::Put(resource);
     let change = Change { schema: SCHEMA, id: Uuid::new_v4(), expected: 0, action };
     serde_json::to_string(&change).unwrap()
 }
 
+/// Returns all resources: the tiers, an account that may use each of them, a pool and its targets.
 pub fn resources() -> Vec<Resource> {
     let tier = |(rank, name): (Rank, &&str)| {
         Resource::Tier(Tier { name: (*name).to_owned(), rank, deadline: Duration::from_secs(10) })
@@ -41,12 +43,13 @@
     tiers.chain([account, pool]).chain((0..TARGETS).map(target)).collect()
 }
 
+/// Returns the target with this index; its control and traffic ports are offset by the index.
 fn target(index: usize) -> Resource {
     let offset = u16::try_from(index).unwrap();
     Resource::Target(Target {
-        name: name(index),
+        name: target_name(index),
         pool: "drawings".to_owned(),
-        host: name(index),
+        host: target_name(index),
         zone: "a".to_owned(),
         control: ([127, 0, 0, 1], CONTROL_PORT + offset).into(),
         traffic: ([127, 0, 0, 1], TRAFFIC_PORT + offset).into(),
@@ -56,6 +59,8 @@
     })
 }
 
+/// Returns a completion request of the account, in the tier of this rank, that must be answered within
+/// `deadline`.
 pub fn request(id: RequestId, rank: Rank, deadline: Duration) -> Request {
     Request {
         id,
--- a/components/scheduler/tests/world/mod.rs
+++ b/components/scheduler/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! Entries and agents over a network that loses, doubles and reorders messages.
+//! Simulates entries and agents over a network that loses, duplicates and reorders messages.
 //!
-//! A message to a process dies with it, as it would in a connection. The part of an entry's shell
-//! that waits for one start stands here too: it hears one reply, or that there is none.
+//! A message to a process is lost when the process restarts, as it would be with the connection. The world
+//! also plays the part of an entry that waits for the outcome of a start: that part gets one reply, or learns
+//! that the connection broke without one.
 
 #![allow(dead_code)]
 
@@ -14,7 +15,7 @@
 };
 
 pub use fixture::request;
-use fixture::{create, resources};
+use fixture::{create_record, resources};
 use model::{
     Host, host,
     id::{Rank, RequestId},
@@ -29,81 +30,111 @@
 
 pub const ENTRIES: usize = 2;
 pub const TARGETS: usize = 3;
+/// Names of the tiers, highest first; the index is the rank.
 pub const TIERS: [&str; 3] = ["crew", "desk", "bulk"];
+/// Control port of target 0; each further target has the next port.
 const CONTROL_PORT: u16 = 1_000;
+/// Traffic port of target 0; each further target has the next port.
 const TRAFFIC_PORT: u16 = 2_000;
 
-/// What travels.
+/// A message in flight between an entry and a target's agent, or the information that a connection broke.
 #[derive(Clone, Debug)]
 pub enum Packet {
+    /// An entry asks for a reservation.
     Reserve { target: usize, ask: Ask },
+    /// An entry cancels a reservation.
     Cancel { target: usize, id: Id },
+    /// An entry starts a granted reservation.
     Start { target: usize, id: Id },
+    /// An entry asks what became of a reservation whose start got no reply.
     Settle { target: usize, id: Id },
+    /// An agent grants a reservation.
     Granted { id: Id, grant: Grant },
+    /// An agent denies a reservation.
     Denied { id: Id, denial: Denial },
+    /// The connection of a reservation broke before the agent granted or denied it.
     Broken { id: Id },
+    /// A start ended.
     Answered { id: Id, answer: Answer },
+    /// The connection of a start broke before its answer.
     Silent { id: Id },
+    /// An agent answers a `Settle`.
     Told { id: Id, fate: Fate },
+    /// The connection of a `Settle` broke before its answer.
     Unsettled { id: Id },
 }
 
-/// How a start ended, as its entry's shell learns it.
+/// How a start ended, as its entry learns it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
+    /// The target answered in full.
     Whole,
+    /// The target refused the connection, so the request didn't run.
     NotRun,
+    /// The agent denied the start because of the reservation's state.
     Denied(Fate),
 }
 
-/// A request that was refused for want of room, and what waited then.
+/// A request that was rejected for lack of capacity, and which lower tiers still waited at that time.
 #[derive(Clone, Copy, Debug)]
 pub struct Shed {
     pub rank: Rank,
-    /// Lowest tier that still waited at the same entry.
+    /// Rank of the lowest tier that still waited at the same entry; `None` where nothing waited.
     pub lowest_here: Option<Rank>,
-    /// Longest time since a target denied it at which a lower tier waited now.
+    /// Longest time since the request was denied by a target at which a lower tier waits now; `None` where no
+    /// such target denied the request.
     pub window: Option<Duration>,
 }
 
-/// Everything, and what the oracle needs to judge it.
+/// The simulated processes and network, and the observations that tests check.
 pub struct World {
+    /// The clock of all processes.
     pub now: Instant,
     pub entries: Vec<entry::State>,
     pub agents: Vec<agent::State>,
+    /// Messages in flight.
     pub network: Vec<Packet>,
-    /// How often each request reached a target.
+    /// How often each request was dispatched to a target that accepts connections.
     pub ran: BTreeMap<RequestId, u32>,
+    /// Whether each refused request may have run, as its refusal stated.
     pub refused: BTreeMap<RequestId, Ran>,
+    /// Requests that were answered in full.
     pub answered: BTreeSet<RequestId>,
-    /// Starts that an entry sent to a target after it had heard that it is leaving.
+    /// Starts that an entry sent to a target after the entry had learned that the target is leaving.
     pub late_starts: Vec<Id>,
-    /// Requests that were refused for want of room, in their order.
+    /// Requests that were rejected for lack of capacity, in the order of their rejection.
     pub sheds: Vec<Shed>,
-    /// Rank of each request that was sent.
+    /// Rank of each request that arrived at an entry.
     pub ranks: BTreeMap<RequestId, Rank>,
+    /// Entries that handle no events.
     frozen: BTreeSet<usize>,
-    /// Targets that each entry knows to be leaving.
+    /// For each entry, the targets that are leaving by the latest host list that the entry received.
     leaving: BTreeMap<usize, Vec<usize>>,
-    /// Targets that take no connection from their agent.
+    /// Targets that refuse connections from their agent.
     closed: BTreeSet<usize>,
-    /// Calls for room that have no reply yet, and starts whose reply is waited for.
+    /// Reservations that have no reply yet, with their targets.
     calls: BTreeMap<Id, usize>,
     /// When each target last denied each request.
     denials: BTreeMap<RequestId, BTreeMap<usize, Instant>>,
+    /// Starts whose outcome an entry waits for, with their targets.
     starts: BTreeMap<Id, usize>,
+    /// Requests that run, with their targets.
     running: BTreeMap<Id, usize>,
-    serial: u64,
+    /// Number of the last request.
+    last_request: u64,
+    /// Capacity of each agent.
     room: Room,
+    /// Most requests that wait at an entry.
     waiting: usize,
 }
 
+/// Creates a world whose entries have applied the whole configuration. Each entry lets at most `waiting`
+/// requests wait.
 pub fn open(room: Room, waiting: usize) -> World {
     let now = Instant::now();
     World {
         now,
-        entries: (0..ENTRIES).map(|_| ready(now, waiting)).collect(),
+        entries: (0..ENTRIES).map(|_| ready_entry(now, waiting)).collect(),
         agents: (0..TARGETS).map(|_| agent::open(room)).collect(),
         network: Vec::new(),
         ran: BTreeMap::new(),
@@ -119,53 +150,55 @@
         denials: BTreeMap::new(),
         starts: BTreeMap::new(),
         running: BTreeMap::new(),
-        serial: 0,
+        last_request: 0,
         room,
         waiting,
     }
 }
 
 impl World {
+    /// Lets a new request arrive at an entry and returns its id.
     pub fn arrive(&mut self, entry: usize, rank: Rank, deadline: Duration) -> RequestId {
-        self.serial += 1;
-        let id = Uuid::from_u64_pair(entry as u64, self.serial);
+        self.last_request += 1;
+        let id = Uuid::from_u64_pair(entry as u64, self.last_request);
         self.ranks.insert(id, rank);
         self.entry(entry, Event::Arrived(request(id, rank, deadline)));
         id
     }
 
-    /// Delivers a message; a frozen entry leaves it where it is.
+    /// Delivers a message; one to a frozen entry stays in flight.
     pub fn deliver(&mut self, index: usize) {
-        if !self.is_deaf(&self.network[index]) {
+        if !self.is_to_frozen_entry(&self.network[index]) {
             let packet = self.network.swap_remove(index);
             self.receive(packet);
         }
     }
 
-    /// Delivers the oldest message.
+    /// Delivers the first message in flight, also to a frozen entry.
     pub fn deliver_first(&mut self) {
         let packet = self.network.remove(0);
         self.receive(packet);
     }
 
-    /// Delivers a copy and keeps the message.
+    /// Delivers a copy of a message, which stays in flight; does nothing where it goes to a frozen entry.
     pub fn double(&mut self, index: usize) {
         let packet = self.network[index].clone();
-        if !self.is_deaf(&packet) {
+        if !self.is_to_frozen_entry(&packet) {
             self.receive(packet);
         }
     }
 
-    /// Drops a message; who waits for a reply learns that its connection broke.
+    /// Loses a message; an entry that waits for a reply is informed that the connection broke.
     pub fn lose(&mut self, index: usize) {
         let lost = self.network.swap_remove(index);
         self.network.extend(after_loss(lost));
     }
 
+    /// Advances the clock and lets every process that isn't frozen handle a tick.
     pub fn advance(&mut self, time: Duration) {
         self.now += time;
         for target in 0..TARGETS {
-            self.agent(target, agent::Event::Tick);
+            self.send_to_agent(target, agent::Event::Tick);
         }
         for entry in 0..ENTRIES {
             if !self.frozen.contains(&entry) {
@@ -174,32 +207,37 @@
         }
     }
 
+    /// Freezes an entry, or ends its freeze.
     pub fn freeze(&mut self, entry: usize) {
         if !self.frozen.remove(&entry) {
             self.frozen.insert(entry);
         }
     }
 
+    /// Lets a target refuse connections, or accept them again.
     pub fn close(&mut self, target: usize) {
         if !self.closed.remove(&target) {
             self.closed.insert(target);
         }
     }
 
+    /// Lets the target finish the running request with this index; does nothing where there is none.
     pub fn end_run(&mut self, index: usize) {
         let Some((id, target)) = self.running.iter().nth(index).map(|(id, t)| (*id, *t)) else {
             return;
         };
         self.running.remove(&id);
-        self.agent(target, agent::Event::Ended(id));
+        self.send_to_agent(target, agent::Event::Ended(id));
         self.network.push(Packet::Answered { id, answer: Answer::Whole });
     }
 
+    /// Returns the number of requests that run.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// A caller that gives up closes its connection; the target stops the run.
+    /// Closes the caller's connection of a request: the entry no longer waits for it. Does nothing where the
+    /// entry is frozen.
     pub fn give_up(&mut self, request: RequestId) {
         let entry = entry_of(request);
         if self.frozen.contains(&entry) {
@@ -209,21 +247,24 @@
         self.entry(entry, Event::Ended { request });
     }
 
-    /// A new process in the place of an agent: it knows nothing.
+    /// Restarts an agent with an empty state. The requests that ran on its target end, messages to it are
+    /// lost, and the entries that wait for a reply are informed that the connection broke.
     pub fn restart_agent(&mut self, target: usize) {
         self.agents[target] = agent::open(self.room);
         self.running.retain(|_, at| *at != target);
-        let (dead, kept) = self.network.drain(..).partition(|p| to_target(p) == Some(target));
+        let (lost, kept) = self.network.drain(..).partition(|p| to_target(p) == Some(target));
         self.network = kept;
-        self.network.extend(dead.into_iter().filter_map(after_loss));
-        let broken = self.calls.iter().filter(|(_, at)| **at == target);
-        self.network.extend(broken.map(|(id, _)| Packet::Broken { id: *id }));
-        let silent = self.starts.iter().filter(|(_, at)| **at == target);
-        self.network.extend(silent.map(|(id, _)| Packet::Silent { id: *id }));
+        self.network.extend(lost.into_iter().filter_map(after_loss));
+        let unreplied_calls = self.calls.iter().filter(|(_, at)| **at == target);
+        self.network.extend(unreplied_calls.map(|(id, _)| Packet::Broken { id: *id }));
+        let unanswered_starts = self.starts.iter().filter(|(_, at)| **at == target);
+        self.network.extend(unanswered_starts.map(|(id, _)| Packet::Silent { id: *id }));
     }
 
+    /// Restarts an entry with the configuration applied; it no longer waits for any reply, and messages to it
+    /// are lost.
     pub fn restart_entry(&mut self, entry: usize) {
-        self.entries[entry] = ready(self.now, self.waiting);
+        self.entries[entry] = ready_entry(self.now, self.waiting);
         self.leaving.remove(&entry);
         self.frozen.remove(&entry);
         self.starts.retain(|id, _| entry_of(id.request) != entry);
@@ -231,14 +272,16 @@
         self.network.retain(|p| to_entry(p) != Some(entry));
     }
 
+    /// Asks an agent to drain.
     pub fn drain_agent(&mut self, target: usize) {
-        self.agent(target, agent::Event::Drain);
+        self.send_to_agent(target, agent::Event::Drain);
     }
 
-    /// What the platform's list shows, told to one entry.
+    /// Sends an entry the platform's host list, in which these targets are leaving; does nothing where the
+    /// entry is frozen.
     pub fn show_leaving(&mut self, entry: usize, leaving: &[usize]) {
         let row = |target: &usize| Host {
-            name: name(*target),
+            name: target_name(*target),
             zone: "a".to_owned(),
             state: host::State::Leaving,
         };
@@ -249,25 +292,27 @@
         self.entry(entry, Event::Hosts(leaving.iter().map(row).collect()));
     }
 
+    /// Lets an entry handle an event and executes the effects.
     pub fn entry(&mut self, entry: usize, event: Event) {
         for effect in entry::reduce(&mut self.entries[entry], self.now, event) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: entry::Effect) {
+    /// Executes one effect of an entry's reducer: sends the message, or records the refusal.
+    fn execute(&mut self, effect: entry::Effect) {
         match effect {
             entry::Effect::Reserve { address, ask, .. } => {
-                let target = index(address);
+                let target = target_index(address);
                 self.calls.insert(ask.id, target);
                 self.network.push(Packet::Reserve { target, ask });
             }
             entry::Effect::Cancel { id, address } => {
                 self.calls.remove(&id);
-                self.network.push(Packet::Cancel { target: index(address), id });
+                self.network.push(Packet::Cancel { target: target_index(address), id });
             }
             entry::Effect::Start(start) => {
-                let target = index(start.control);
+                let target = target_index(start.control);
                 let leaving = self.leaving.get(&entry_of(start.id.request));
                 if leaving.is_some_and(|leaving| leaving.contains(&target)) {
                     self.late_starts.push(start.id);
@@ -278,27 +323,30 @@
             entry::Effect::Refuse { request, refusal, .. } => {
                 self.refused.insert(request, refusal.ran);
                 if matches!(refusal.reason, Reason::Overloaded | Reason::NoTarget) {
-                    self.note_shed(request);
+                    self.record_shed(request);
                 }
             }
             _ => {}
         }
     }
 
-    fn note_shed(&mut self, request: RequestId) {
+    /// Records the rejection of a request for lack of capacity, with the lower tiers that wait now.
+    fn record_shed(&mut self, request: RequestId) {
         let rank = self.ranks[&request];
         let denials = self.denials.remove(&request).unwrap_or_default();
-        let passed = |(target, at): (&usize, &Instant)| {
-            let lower = self.agents[*target].lowest_waiting().is_some_and(|lowest| lowest > rank);
-            lower.then(|| self.now.duration_since(*at))
+        let since_denial = |(target, at): (&usize, &Instant)| {
+            let is_lower_waiting =
+                self.agents[*target].lowest_waiting().is_some_and(|lowest| lowest > rank);
+            is_lower_waiting.then(|| self.now.duration_since(*at))
         };
-        let window = denials.iter().filter_map(passed).max();
+        let window = denials.iter().filter_map(since_denial).max();
         let lowest_here = self.entries[entry_of(request)].lowest_waiting();
         self.sheds.push(Shed { rank, lowest_here, window });
     }
 
-    fn agent(&mut self, target: usize, event: agent::Event) {
-        let settles = matches!(event, agent::Event::Settle(_));
+    /// Lets an agent handle an event and sends the messages that result.
+    fn send_to_agent(&mut self, target: usize, event: agent::Event) {
+        let is_settle = matches!(event, agent::Event::Settle(_));
         for effect in agent::reduce(&mut self.agents[target], self.now, event) {
             match effect {
                 agent::Effect::Grant { id, grant } => {
@@ -312,7 +360,7 @@
                 agent::Effect::DenyStart { id, fate } => {
                     self.network.push(Packet::Answered { id, answer: Answer::Denied(fate) });
                 }
-                agent::Effect::Tell { id, fate } if settles => {
+                agent::Effect::Tell { id, fate } if is_settle => {
                     self.network.push(Packet::Told { id, fate });
                 }
                 _ => {}
@@ -320,25 +368,29 @@
         }
     }
 
+    /// Starts a request on a target; a target that refuses connections doesn't run it.
     fn dispatch(&mut self, target: usize, id: Id) {
         if self.closed.contains(&target) {
-            self.agent(target, agent::Event::Ended(id));
+            self.send_to_agent(target, agent::Event::Ended(id));
             return self.network.push(Packet::Answered { id, answer: Answer::NotRun });
         }
         *self.ran.entry(id.request).or_default() += 1;
         self.running.insert(id, target);
     }
 
+    /// Lets the receiver of a message handle it.
     fn receive(&mut self, packet: Packet) {
         match packet {
-            Packet::Reserve { target, ask } => self.agent(target, agent::Event::Reserve(ask)),
-            Packet::Cancel { target, id } => self.agent(target, agent::Event::Cancel(id)),
-            Packet::Start { target, id } => self.agent(target, agent::Event::Start(id)),
-            Packet::Settle { target, id } => self.agent(target, agent::Event::Settle(id)),
-            Packet::Granted { id, grant } => self.hear(id, Event::Granted { id, grant }),
-            Packet::Denied { id, denial } => self.hear(id, Event::Denied { id, denial }),
+            Packet::Reserve { target, ask } => {
+                self.send_to_agent(target, agent::Event::Reserve(ask))
+            }
+            Packet::Cancel { target, id } => self.send_to_agent(target, agent::Event::Cancel(id)),
+            Packet::Start { target, id } => self.send_to_agent(target, agent::Event::Start(id)),
+            Packet::Settle { target, id } => self.send_to_agent(target, agent::Event::Settle(id)),
+            Packet::Granted { id, grant } => self.deliver_reply(id, Event::Granted { id, grant }),
+            Packet::Denied { id, denial } => self.deliver_reply(id, Event::Denied { id, denial }),
             Packet::Broken { id } if self.calls.contains_key(&id) => {
-                self.hear(id, Event::Unreachable { id });
+                self.deliver_reply(id, Event::Unreachable { id });
             }
             Packet::Broken { .. } => {}
             Packet::Silent { id } => {
@@ -352,14 +404,17 @@
         }
     }
 
-    fn hear(&mut self, id: Id, event: Event) {
+    /// Lets the entry of a reservation handle the agent's reply to it.
+    fn deliver_reply(&mut self, id: Id, event: Event) {
         self.calls.remove(&id);
         self.entry(entry_of(id.request), event);
     }
 
-    /// What the entry's shell does with the one reply that it waits for.
+    /// Handles the one reply to a start that its entry waits for. A reply that proves that the request didn't
+    /// run returns the request to the entry's reducer; any other reply ends the request.
     fn end_start(&mut self, packet: Packet) {
-        let (id, proven) = match packet {
+        // Whether the reply proves that the request didn't run; `None` where it ran to its end.
+        let (id, proves_not_run) = match packet {
             Packet::Answered { id, answer: Answer::Whole } => (id, None),
             Packet::Answered { id, answer: Answer::NotRun } => (id, Some(true)),
             Packet::Answered { id, answer: Answer::Denied(fate) } | Packet::Told { id, fate } => {
@@ -372,7 +427,7 @@
             return;
         }
         let entry = entry_of(id.request);
-        match proven {
+        match proves_not_run {
             Some(true) => return self.entry(entry, Event::NotStarted { id, unreachable: false }),
             Some(false) => {
                 self.refused.insert(id.request, Ran::MayHaveRun);
@@ -384,11 +439,14 @@
         self.entry(entry, Event::Ended { request: id.request });
     }
 
-    fn is_deaf(&self, packet: &Packet) -> bool {
+    /// Returns whether a message goes to a frozen entry.
+    fn is_to_frozen_entry(&self, packet: &Packet) -> bool {
         to_entry(packet).is_some_and(|entry| self.frozen.contains(&entry))
     }
 }
 
+/// Returns what is in flight after a message is lost: the information that the connection broke, for the
+/// entry that waits for a reply. `None` where no reply is awaited. Such information itself isn't lost.
 fn after_loss(packet: Packet) -> Option<Packet> {
     match packet {
         Packet::Reserve { ask, .. } => Some(Packet::Broken { id: ask.id }),
@@ -396,10 +454,11 @@
         Packet::Start { id, .. } | Packet::Answered { id, .. } => Some(Packet::Silent { id }),
         Packet::Settle { id, .. } | Packet::Told { id, .. } => Some(Packet::Unsettled { id }),
         Packet::Cancel { .. } => None,
-        known => Some(known),
+        connection_loss => Some(connection_loss),
     }
 }
 
+/// Returns the target that a message goes to; `None` where it goes to an entry.
 fn to_target(packet: &Packet) -> Option<usize> {
     match packet {
         Packet::Reserve { target, .. }
@@ -410,6 +469,7 @@
     }
 }
 
+/// Returns the entry that a message goes to; `None` where it goes to a target.
 fn to_entry(packet: &Packet) -> Option<usize> {
     match packet {
         Packet::Granted { id, .. }
@@ -423,22 +483,26 @@
     }
 }
 
+/// Returns the entry at which a request arrived.
 pub fn entry_of(request: RequestId) -> usize {
     usize::try_from(request.as_u64_pair().0).unwrap()
 }
 
-fn index(address: SocketAddr) -> usize {
+/// Returns the index of the target whose agent has this control address.
+fn target_index(address: SocketAddr) -> usize {
     usize::from(address.port() - CONTROL_PORT)
 }
 
-fn name(target: usize) -> String {
+fn target_name(target: usize) -> String {
     format!("t{target}")
 }
 
-fn ready(now: Instant, waiting: usize) -> entry::State {
+/// Returns the state of an entry that has applied the whole configuration.
+fn ready_entry(now: Instant, waiting: usize) -> entry::State {
     let mut state = entry::open(Settings { waiting, zone: "a".to_owned() });
     let records = (1..).zip(resources());
-    let records = records.map(|(offset, resource)| Record { offset, payload: create(resource) });
+    let records =
+        records.map(|(offset, resource)| Record { offset, payload: create_record(resource) });
     entry::reduce(&mut state, now, Event::Records(records.collect()));
     entry::reduce(&mut state, now, Event::CaughtUp);
     state
