--- a/components/scheduler/tests/support/world.rs
+++ b/components/scheduler/tests/support/world.rs
@@ -369,8 +369,8 @@
         self.handle(from, Event::Answered { key, incarnation, answer });
     }
 
-    /// Reports to the incarnation that sent a hand-over whether it arrived. Another incarnation of the agent
-    /// isn't told.
+    /// Reports to the incarnation that sent a hand-over whether it arrived; does nothing where the agent has
+    /// stopped or is another incarnation by now.
     fn acknowledge(&mut self, from: usize, sender: IncarnationId, arrived: bool) {
         let is_sender = |agent: &&mut Agent| agent.incarnation == sender;
         if let Some(agent) = self.agents[from].as_mut().filter(is_sender) {
