--- a/components/scheduler/src/claim/event.rs
+++ b/components/scheduler/src/claim/event.rs
@@ -1,4 +1,4 @@
-//! Events that the reducer of claims takes and effects that it gives.
+//! Events that the reducer of claims applies and effects that it returns.
 
 use std::{
     net::SocketAddr,
@@ -12,80 +12,83 @@
 
 use crate::entry::Record;
 
-/// Both clocks of the process at one moment.
+/// Readings of both clocks of the process, taken at the same time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Clock {
-    /// The monotonic clock, for periods.
+    /// Monotonic clock, for durations and timeouts.
     pub now: Instant,
-    /// The wall clock, for comparison with other processes and with keys that carry a time.
+    /// Wall clock, for comparison with times of other processes and times carried by keys.
     pub wall: SystemTime,
 }
 
-/// What happened.
+/// Event that the reducer applies.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// An entry asks for a key.
+    /// An entry asks that an attempt be granted its key.
     Claim(Ask),
-    /// A later home of a key asks what is remembered of it.
+    /// A later home of a key asks for the claim that this agent stores of it.
     Asked(Question),
-    /// An earlier home answered.
+    /// A question to an earlier home was answered or failed.
     Answered {
-        /// The key.
+        /// Key of the question.
         key: ClaimKey,
-        /// The run that was asked.
+        /// Incarnation that was asked.
         incarnation: IncarnationId,
-        /// Its answer; `None` where it can't be reached.
+        /// Answer of that incarnation; `None` where it was unreachable.
         answer: Option<Answer>,
     },
-    /// An entry tells what became of an attempt.
+    /// An entry reports whether a granted attempt ran.
     Settle(Settle),
-    /// An agent that leaves hands claims over.
+    /// A leaving agent hands over claims of keys whose next home is this agent.
     Received(Vec<Transfer>),
-    /// Records of the membership stream were read, in order.
+    /// Records of the membership stream were read, in the order of their offsets.
     Records(Vec<Record>),
-    /// All membership records that stood at the log's last answer are applied.
+    /// All membership records that existed at the log's last answer are applied; this confirms the
+    /// epoch.
     CaughtUp,
-    /// Give everything that isn't handed over yet to the members that stay.
+    /// The agent is leaving: hand over all claims that haven't been sent yet.
     HandOver,
-    /// A hand-over didn't arrive: all of it has to be given again.
+    /// A message of the hand-over may not have arrived: the next hand-over sends all claims again.
     HandOverFailed,
-    /// Grant nothing more, so that nothing is left to hand over.
+    /// Grant no more keys, so that the next hand-over is the last.
     Freeze,
-    /// Another process took this run for lost: go on as a new run, with all that is remembered.
+    /// Another process removed this incarnation as lost: continue as a new one with all stored
+    /// claims.
     Rejoin(IncarnationId),
-    /// Go on granting: this agent stays after all.
+    /// The agent remains a member after all: grant keys again and discard the hand-over's progress.
     Thaw,
 }
 
-/// What has to be done.
+/// Effect that the reducer asks its caller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Answer everybody who asked for this attempt.
+    /// Reply to every pending ask of an attempt.
     Reply {
-        /// The attempt.
+        /// Attempt that asked for its key.
         attempt: RequestId,
-        /// The answer.
+        /// Verdict on the attempt.
         verdict: Verdict,
     },
-    /// Ask an earlier home; the answer comes back as an event.
+    /// Ask an earlier home of a key; [`Event::Answered`] returns the answer.
     Ask {
-        /// Its control address.
+        /// Control address of the earlier home.
         address: SocketAddr,
-        /// What to ask.
+        /// Question to send.
         question: Question,
     },
-    /// Answer a question.
+    /// Answer the question of [`Event::Asked`].
     Tell(Answer),
-    /// Answer a settlement.
+    /// Answer the report of [`Event::Settle`].
     Settled {
-        /// Whether this agent is the key's home, so that nobody else need be told.
+        /// Whether this agent is the key's home and not frozen, so that the entry need report to no
+        /// other agent.
         taken: bool,
     },
-    /// Give claims to a member that stays.
+    /// Send claims to the agent that becomes the home of their keys.
     HandOver {
-        /// Its control address.
+        /// Control address of the receiving agent.
         address: SocketAddr,
-        /// The claims.
+        /// Claims to hand over.
         claims: Vec<Transfer>,
     },
 }
--- a/components/scheduler/src/claim/handover.rs
+++ b/components/scheduler/src/claim/handover.rs
@@ -1,5 +1,6 @@
-//! Handing claims over before an agent leaves: a snapshot while it still grants, then the tail
-//! once it is frozen. Only then comes the record that moves the keys to their next homes.
+//! Hand-over of claims before an agent leaves: all claims while it still grants keys, then the
+//! claims that changed in the meantime, once it is frozen. Only after that may the leave record be
+//! appended, which makes other agents the homes of the keys.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,60 +14,65 @@
 
 use super::{Effect, State};
 
-/// Most claims in one message.
-const BATCH: usize = 1_000;
+/// Maximum number of claims in one message.
+const MAX_CLAIMS_PER_MESSAGE: usize = 1_000;
 
-/// How far the hand-over is.
+/// Progress of a hand-over.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Handover {
-    /// Epoch under which claims were given so far; `None` where none were.
-    epoch: Option<Offset>,
-    /// Keys that changed since they were given.
-    changed: BTreeSet<ClaimKey>,
-    /// Whether nothing more is granted.
-    pub(super) frozen: bool,
+    /// Membership epoch under which claims were last sent; `None` before the first hand-over and
+    /// after a failed one.
+    sent_epoch: Option<Offset>,
+    /// Keys whose marks changed after they were sent.
+    changed_keys: BTreeSet<ClaimKey>,
+    /// Whether the agent grants no more keys.
+    pub(super) is_frozen: bool,
 }
 
 impl Handover {
-    /// Notes that a key has to be given again.
-    pub(super) fn changed(&mut self, key: ClaimKey) {
-        if self.epoch.is_some() {
-            self.changed.insert(key);
+    /// Records that the mark of a key changed and has to be sent again.
+    pub(super) fn mark_changed(&mut self, key: ClaimKey) {
+        if self.sent_epoch.is_some() {
+            self.changed_keys.insert(key);
         }
     }
 
-    /// Notes that nothing is sure to have arrived.
-    pub(super) fn fail(&mut self) {
-        self.epoch = None;
-        self.changed.clear();
+    /// Discards the progress after a failed message, so that the next hand-over sends all claims.
+    pub(super) fn restart(&mut self) {
+        self.sent_epoch = None;
+        self.changed_keys.clear();
     }
 }
 
 impl State {
-    /// Gives what the next homes don't have yet; all of it where the members changed.
+    /// Sends the claims that the next homes don't have yet; all claims where the membership changed
+    /// since the last hand-over, because the next homes may be others.
     pub(super) fn hand_over(&mut self, effects: &mut Vec<Effect>) {
         let epoch = self.members.epoch();
-        let is_first = self.handover.epoch != Some(epoch);
-        let changed = std::mem::take(&mut self.handover.changed);
-        self.handover.epoch = Some(epoch);
-        let mut by_home: BTreeMap<SocketAddr, Vec<Transfer>> = BTreeMap::new();
-        let wanted = |transfer: &Transfer| is_first || changed.contains(&transfer.key);
-        for transfer in self.table.iter().filter(wanted) {
+        let is_first = self.handover.sent_epoch != Some(epoch);
+        let changed_keys = std::mem::take(&mut self.handover.changed_keys);
+        self.handover.sent_epoch = Some(epoch);
+        let mut claims_by_home: BTreeMap<SocketAddr, Vec<Transfer>> = BTreeMap::new();
+        let must_send = |transfer: &Transfer| is_first || changed_keys.contains(&transfer.key);
+        for transfer in self.table.iter().filter(must_send) {
             if let Some(home) = self.members.next_home(transfer.key, self.settings.incarnation) {
-                by_home.entry(home.control).or_default().push(transfer);
+                claims_by_home.entry(home.control).or_default().push(transfer);
             }
         }
-        for (address, claims) in by_home {
-            let batches = claims.chunks(BATCH).map(<[Transfer]>::to_vec);
+        for (address, claims) in claims_by_home {
+            let batches = claims.chunks(MAX_CLAIMS_PER_MESSAGE).map(<[Transfer]>::to_vec);
             effects.extend(batches.map(|claims| Effect::HandOver { address, claims }));
         }
     }
 
-    /// Epoch under which everything was handed over, if it still stands and everything was.
+    /// Returns the current epoch if all claims were sent under it and none can change any more.
+    ///
+    /// Returns `None` while a claim remains to be sent, while keys are still granted, after a
+    /// membership change, and where claims are stored but no other member can take them.
     pub fn handed_over(&self) -> Option<Offset> {
-        let epoch = self.handover.epoch.filter(|epoch| *epoch == self.members.epoch())?;
-        let is_whole = self.handover.frozen && self.handover.changed.is_empty();
-        let has_by_home = self.members.members().any(|m| m.id != self.settings.incarnation);
-        (is_whole && (has_by_home || self.is_empty())).then_some(epoch)
+        let epoch = self.handover.sent_epoch.filter(|epoch| *epoch == self.members.epoch())?;
+        let is_complete = self.handover.is_frozen && self.handover.changed_keys.is_empty();
+        let has_other_member = self.members.members().any(|m| m.id != self.settings.incarnation);
+        (is_complete && (has_other_member || self.is_empty())).then_some(epoch)
     }
 }
--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -1,9 +1,11 @@
-//! The reducer of claims: which attempt of a request with an idempotency key may run.
+//! Reducer of claims: decides which attempt of a request with an idempotency key may run.
 //!
-//! Each agent keeps the claims of the keys whose home it is. A home grants a key once, from
-//! memory; before it grants a key that it doesn't hold, it asks every run of an agent that was
-//! the key's home within the window. The question fences the key there against grants under
-//! older epochs, so that a home that hasn't heard of the change can do no harm.
+//! The home of a key is the agent to which rendezvous hashing over the members assigns the key.
+//! Each agent keeps, in memory only, the claims of the keys whose home it is, and grants a key to
+//! one attempt. Before it grants a key that no attempt holds there, it asks every incarnation of
+//! an agent that was the key's home within [`WINDOW`]. The question also fences the key: the
+//! asked agent grants it no more under an epoch older than the question's. An earlier home that
+//! hasn't applied the membership change yet therefore can't grant the key a second time.
 
 mod event;
 mod handover;
@@ -27,95 +29,100 @@
 use crate::{
     config,
     entry::Record,
-    membership::{self, CLOCK_ERROR, End, Home, WINDOW},
+    membership::{self, CLOCK_ERROR_LIMIT, End, Home, WINDOW},
 };
 
-/// Time for which an agent goes on with an epoch that the log hasn't confirmed. A claim granted
-/// at its end is still remembered when the window closes over the home that granted it.
-pub const STALE_LIMIT: Duration = Duration::from_secs(20 * 3_600);
-const _: () = assert!(STALE_LIMIT.as_secs() + RETENTION.as_secs() <= WINDOW.as_secs());
-/// Most by which a key's own time may be ahead of the clock.
-pub const AHEAD_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum age of the log's last confirmation of the membership epoch at which an agent still
+/// decides claims. Together with [`RETENTION`] it fits into [`WINDOW`]: a former home is asked for
+/// its claims until each of them has expired, also one granted at the end of this time.
+pub const STALE_EPOCH_LIMIT: Duration = Duration::from_secs(20 * 3_600);
+const _: () = assert!(STALE_EPOCH_LIMIT.as_secs() + RETENTION.as_secs() <= WINDOW.as_secs());
+/// Maximum time by which the time carried by a key may be ahead of the agent's wall clock.
+pub const KEY_AHEAD_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the reducer is told at its start.
+/// Settings of the reducer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// This run of the agent.
+    /// Incarnation of this agent; [`Event::Rejoin`] replaces it.
     pub incarnation: IncarnationId,
-    /// Most claims that are remembered.
+    /// Number of stored claims at which no further key is granted; also the maximum number of keys
+    /// that are fenced one by one.
     pub claims: usize,
 }
 
-/// A key whose earlier homes are being asked for one attempt.
+/// A claim that waits for the answers of the key's earlier homes.
 #[derive(Clone, Debug)]
-struct Asking {
+struct PendingClaim {
     ask: Ask,
-    /// Epoch under which the homes were found.
+    /// Membership epoch at which the earlier homes were determined.
     epoch: Offset,
-    /// Runs that haven't answered.
-    open: BTreeSet<IncarnationId>,
-    /// What is known so far.
+    /// Incarnations that haven't answered yet.
+    unanswered: BTreeSet<IncarnationId>,
+    /// Merge of this agent's own mark and those answered so far; `None` while there is none.
     mark: Option<Mark>,
-    /// Whether a run can't be asked.
-    unsure: bool,
+    /// Whether an incarnation was unreachable or its process has lost its claims.
+    is_unsure: bool,
 }
 
-/// Everything that an agent decides claims from.
+/// State from which an agent decides claims.
 #[derive(Clone, Debug)]
 pub struct State {
     settings: Settings,
-    /// Earlier runs of this process that were taken for lost; it remembers their claims.
-    past: BTreeSet<IncarnationId>,
+    /// Earlier incarnations of this same process, which other processes removed as lost. The
+    /// process still has their claims.
+    past_incarnations: BTreeSet<IncarnationId>,
     members: membership::State,
-    /// When the log last confirmed the epoch.
-    confirmed: Option<Instant>,
-    /// Whether records are missing, so that no epoch after them can be confirmed.
-    gap: bool,
+    /// Time at which the log last confirmed that all membership records are applied; `None`
+    /// before the first time.
+    confirmed_at: Option<Instant>,
+    /// Whether membership records are missing, so that no later epoch can be confirmed.
+    has_gap: bool,
     table: Table,
-    /// Never holds a key whose mark is held or ran.
-    asking: BTreeMap<ClaimKey, Asking>,
-    /// Keys that aren't granted before this agent has applied the epoch.
-    fenced: BTreeMap<ClaimKey, Offset>,
-    /// The same for all keys, where too many were fenced one by one.
-    fence: Offset,
+    /// Claims that wait for earlier homes. Contains no key whose mark in `table` is `Held` or
+    /// `Ran`.
+    pending: BTreeMap<ClaimKey, PendingClaim>,
+    /// Fence of each fenced key: the epoch that this agent must apply before it grants the key.
+    key_fences: BTreeMap<ClaimKey, Offset>,
+    /// Fence of all keys, used once `key_fences` is full; 0 fences no key.
+    common_fence: Offset,
     handover: Handover,
 }
 
-/// Gives the state of an agent that has read nothing yet.
+/// Returns the state of an agent that has applied no membership record and stores no claim.
 pub fn open(settings: Settings) -> State {
     State {
         settings,
-        past: BTreeSet::new(),
+        past_incarnations: BTreeSet::new(),
         members: membership::State::default(),
-        confirmed: None,
-        gap: false,
+        confirmed_at: None,
+        has_gap: false,
         table: Table::open(settings.claims),
-        asking: BTreeMap::new(),
-        fenced: BTreeMap::new(),
-        fence: 0,
+        pending: BTreeMap::new(),
+        key_fences: BTreeMap::new(),
+        common_fence: 0,
         handover: Handover::default(),
     }
 }
 
-/// Takes one event in and gives what has to be done about it.
+/// Applies one event to the state and returns the effects to carry out.
 pub fn reduce(state: &mut State, clock: Clock, event: Event) -> Vec<Effect> {
     let mut effects = Vec::new();
     state.table.expire(clock.now);
     match event {
-        Event::Claim(ask) => state.claim(clock, ask, &mut effects),
-        Event::Asked(question) => effects.push(Effect::Tell(state.tell(question))),
+        Event::Claim(ask) => state.decide(clock, ask, &mut effects),
+        Event::Asked(question) => effects.push(Effect::Tell(state.answer_question(question))),
         Event::Answered { key, incarnation, answer } => {
-            state.answered(clock, key, incarnation, answer, &mut effects);
+            state.apply_answer(clock, key, incarnation, answer, &mut effects);
         }
         Event::Settle(settle) => state.settle(clock, settle, &mut effects),
-        Event::Received(claims) => state.receive(clock, &claims),
-        Event::Records(records) => state.apply(clock, records),
-        Event::CaughtUp => state.confirmed = Some(clock.now),
+        Event::Received(claims) => state.store_transfers(clock, &claims),
+        Event::Records(records) => state.apply_records(clock, records),
+        Event::CaughtUp => state.confirmed_at = Some(clock.now),
         Event::HandOver => state.hand_over(&mut effects),
-        Event::HandOverFailed => state.handover.fail(),
-        Event::Freeze => state.handover.frozen = true,
+        Event::HandOverFailed => state.handover.restart(),
+        Event::Freeze => state.handover.is_frozen = true,
         Event::Rejoin(incarnation) => {
-            state.past.insert(state.settings.incarnation);
+            state.past_incarnations.insert(state.settings.incarnation);
             state.settings.incarnation = incarnation;
         }
         Event::Thaw => state.handover = Handover::default(),
@@ -124,30 +131,30 @@
 }
 
 impl State {
-    /// The members as this agent knows them.
+    /// Returns the membership as of the last record that this agent has applied.
     pub fn members(&self) -> &membership::State {
         &self.members
     }
 
-    /// The run of the agent that this is now.
+    /// Returns the current incarnation of this agent.
     pub fn incarnation(&self) -> IncarnationId {
         self.settings.incarnation
     }
 
-    /// Claims that are remembered.
+    /// Returns the number of stored claims.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Returns whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn claim(&mut self, clock: Clock, ask: Ask, effects: &mut Vec<Effect>) {
-        let verdict = match self.check(clock, &ask) {
+    fn decide(&mut self, clock: Clock, ask: Ask, effects: &mut Vec<Effect>) {
+        let verdict = match self.decide_locally(clock, &ask) {
             Some(verdict) => verdict,
-            None => match self.ask_homes(clock, ask, effects) {
+            None => match self.ask_earlier_homes(clock, ask, effects) {
                 Some(verdict) => verdict,
                 None => return,
             },
@@ -155,8 +162,9 @@
         effects.push(Effect::Reply { attempt: ask.attempt, verdict });
     }
 
-    /// What can be said without asking anybody; `None` where earlier homes have to be asked.
-    fn check(&self, clock: Clock, ask: &Ask) -> Option<Verdict> {
+    /// Returns the verdict that needs no question to other agents; `None` where the key's earlier
+    /// homes have to be asked.
+    fn decide_locally(&self, clock: Clock, ask: &Ask) -> Option<Verdict> {
         let epoch = self.members.epoch();
         if ask.epoch > epoch || self.is_fenced(ask.key) || !self.is_confirmed(clock.now) {
             return Some(Verdict::Behind { epoch });
@@ -164,35 +172,43 @@
         if !self.is_home(ask.key) {
             return Some(Verdict::Moved { epoch });
         }
-        if self.handover.frozen {
+        if self.handover.is_frozen {
             return Some(Verdict::Leaving);
         }
         match self.table.get(ask.key) {
-            Some(Mark::Held(holder)) => Some(held(holder, ask.attempt)),
+            Some(Mark::Held(holder)) => Some(verdict_of_held(holder, ask.attempt)),
             Some(Mark::Ran) => Some(Verdict::Ran),
             Some(Mark::Free(released)) if released == ask.attempt => Some(Verdict::Held),
-            Some(Mark::Free(_)) => self.check_time(clock, ask),
+            Some(Mark::Free(_)) => self.check_key_time(clock, ask),
             None if self.table.is_full() => Some(Verdict::Full),
-            None => self.check_time(clock, ask),
+            None => self.check_key_time(clock, ask),
         }
     }
 
-    fn check_time(&self, clock: Clock, ask: &Ask) -> Option<Verdict> {
+    /// Returns the rejection of a key whose own time is too far ahead, or so old that a claim of it
+    /// may have expired already; `None` where the key carries no time or an acceptable one.
+    fn check_key_time(&self, clock: Clock, ask: &Ask) -> Option<Verdict> {
         let minted = ask.minted?;
-        if minted > clock.wall + AHEAD_LIMIT {
+        if minted > clock.wall + KEY_AHEAD_LIMIT {
             return Some(Verdict::Ahead);
         }
-        let forgotten = minted + RETENTION - AHEAD_LIMIT - CLOCK_ERROR * 2;
-        (clock.wall > forgotten).then_some(Verdict::Expired)
+        let earliest_expiry = minted + RETENTION - KEY_AHEAD_LIMIT - CLOCK_ERROR_LIMIT * 2;
+        (clock.wall > earliest_expiry).then_some(Verdict::Expired)
     }
 
-    /// Asks the key's earlier homes; gives the verdict where there is none to ask.
-    fn ask_homes(&mut self, clock: Clock, ask: Ask, effects: &mut Vec<Effect>) -> Option<Verdict> {
-        if let Some(asking) = self.asking.get(&ask.key) {
-            return (asking.ask.attempt != ask.attempt).then_some(Verdict::Held);
+    /// Sends questions to the key's earlier homes and returns `None`; returns the verdict where no
+    /// question is needed. A repeated ask of the same attempt waits for the answers to the first.
+    fn ask_earlier_homes(
+        &mut self,
+        clock: Clock,
+        ask: Ask,
+        effects: &mut Vec<Effect>,
+    ) -> Option<Verdict> {
+        if let Some(pending) = self.pending.get(&ask.key) {
+            return (pending.ask.attempt != ask.attempt).then_some(Verdict::Held);
         }
         let epoch = self.members.epoch();
-        let homes: Vec<Home<'_>> = self.earlier(clock, &ask).collect();
+        let homes: Vec<Home<'_>> = self.homes_to_ask(clock, &ask).collect();
         if homes.iter().any(|home| home.former.is_some_and(|former| former.end == End::Ended)) {
             return Some(Verdict::Unsure);
         }
@@ -209,21 +225,26 @@
             let question = Question { key: ask.key, incarnation: incarnation.id, epoch, free };
             effects.push(Effect::Ask { address: incarnation.control, question });
         }
-        let open = homes.iter().map(|home| home.incarnation.id).collect();
-        self.asking.insert(ask.key, Asking { ask, epoch, open, mark, unsure: false });
+        let unanswered = homes.iter().map(|home| home.incarnation.id).collect();
+        let pending = PendingClaim { ask, epoch, unanswered, mark, is_unsure: false };
+        self.pending.insert(ask.key, pending);
         None
     }
 
-    /// Runs that may remember the key, besides this one.
-    fn earlier<'a>(&'a self, clock: Clock, ask: &Ask) -> impl Iterator<Item = Home<'a>> {
+    /// Returns the earlier homes that may have a claim of the key which this process doesn't have.
+    fn homes_to_ask<'a>(&'a self, clock: Clock, ask: &Ask) -> impl Iterator<Item = Home<'a>> {
         let ask = *ask;
         let homes = self.members.homes(ask.key).into_iter();
         homes.filter(move |home| {
-            !self.is_own(home.incarnation.id) && !home.handed_over() && !is_over(home, clock, &ask)
+            !self.is_own(home.incarnation.id)
+                && !home.has_handed_over()
+                && !cannot_have_claim(home, clock, &ask)
         })
     }
 
-    fn answered(
+    /// Merges the answer of an earlier home into the pending claim, and decides the claim once all
+    /// have answered. `None` means that the home was unreachable.
+    fn apply_answer(
         &mut self,
         clock: Clock,
         key: ClaimKey,
@@ -231,44 +252,48 @@
         answer: Option<Answer>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(asking) = self.asking.get_mut(&key) else {
+        let Some(pending) = self.pending.get_mut(&key) else {
             return;
         };
-        if !asking.open.remove(&incarnation) {
+        if !pending.unanswered.remove(&incarnation) {
             return;
         }
         match answer {
-            None | Some(Answer::Stranger) => asking.unsure = true,
+            None | Some(Answer::Stranger) => pending.is_unsure = true,
             Some(Answer::Unknown) => {}
             Some(Answer::Known(mark)) => {
-                asking.mark = Some(asking.mark.map_or(mark, |old| merge(old, mark)));
+                pending.mark = Some(pending.mark.map_or(mark, |old| merge(old, mark)));
             }
         }
-        if !asking.open.is_empty() {
+        if !pending.unanswered.is_empty() {
             return;
         }
-        if let Some(asking) = self.asking.remove(&key) {
-            let verdict = self.conclude(clock, &asking);
-            effects.push(Effect::Reply { attempt: asking.ask.attempt, verdict });
+        if let Some(pending) = self.pending.remove(&key) {
+            let verdict = self.decide_pending(clock, &pending);
+            effects.push(Effect::Reply { attempt: pending.ask.attempt, verdict });
         }
     }
 
-    /// The verdict once every earlier home has answered. Whatever changed meanwhile is looked at
-    /// again, by asking again.
-    fn conclude(&mut self, clock: Clock, asking: &Asking) -> Verdict {
-        let ask = asking.ask;
+    /// Returns the verdict on a claim whose earlier homes have all answered.
+    ///
+    /// The local checks are repeated, since the state may have changed while the questions were in
+    /// flight. If the membership epoch changed, the verdict is [`Verdict::Behind`], so that the
+    /// entry asks again and the earlier homes are determined anew.
+    fn decide_pending(&mut self, clock: Clock, pending: &PendingClaim) -> Verdict {
+        let ask = pending.ask;
         let own = self.table.get(ask.key);
-        let mark = own.map_or(asking.mark, |own| Some(asking.mark.map_or(own, |m| merge(own, m))));
+        let mark =
+            own.map_or(pending.mark, |own| Some(pending.mark.map_or(own, |m| merge(own, m))));
         if let Some(mark) = mark.filter(|mark| !matches!(mark, Mark::Free(_))) {
-            self.remember(clock.now, ask.key, mark);
+            self.store(clock.now, ask.key, mark);
         }
-        if let Some(verdict) = self.check(clock, &ask) {
+        if let Some(verdict) = self.decide_locally(clock, &ask) {
             return verdict;
         }
-        if self.members.epoch() != asking.epoch {
+        if self.members.epoch() != pending.epoch {
             return Verdict::Behind { epoch: self.members.epoch() };
         }
-        if asking.unsure {
+        if pending.is_unsure {
             return Verdict::Unsure;
         }
         if mark == Some(Mark::Free(ask.attempt)) {
@@ -279,16 +304,17 @@
     }
 
     fn grant(&mut self, now: Instant, ask: Ask) {
-        self.remember(now, ask.key, Mark::Held(ask.attempt));
+        self.store(now, ask.key, Mark::Held(ask.attempt));
     }
 
-    /// Answers a later home of a key, and fences the key against grants under older epochs.
-    fn tell(&mut self, question: Question) -> Answer {
+    /// Returns the answer to a later home of a key, and fences the key where the question's epoch
+    /// is newer than this agent's.
+    fn answer_question(&mut self, question: Question) -> Answer {
         if !self.is_own(question.incarnation) {
             return Answer::Stranger;
         }
         if question.epoch > self.members.epoch() {
-            self.fence(question);
+            self.fence_key(question);
         }
         let Some(mark) = self.table.get(question.key) else {
             return Answer::Unknown;
@@ -298,93 +324,109 @@
         Answer::Known(mark)
     }
 
-    fn fence(&mut self, question: Question) {
-        if self.fenced.len() >= self.settings.claims {
-            self.fence = self.fence.max(question.epoch);
+    /// Fences the question's key; where too many keys are fenced, fences all keys instead.
+    fn fence_key(&mut self, question: Question) {
+        if self.key_fences.len() >= self.settings.claims {
+            self.common_fence = self.common_fence.max(question.epoch);
             return;
         }
-        let fence = self.fenced.entry(question.key).or_default();
+        let fence = self.key_fences.entry(question.key).or_default();
         *fence = question.epoch.max(*fence);
     }
 
+    /// Records whether a granted attempt ran. An unknown claim is stored only where this agent is
+    /// the key's home, is not frozen and has capacity.
     fn settle(&mut self, clock: Clock, settle: Settle, effects: &mut Vec<Effect>) {
-        let told = match settle.ran {
+        let reported = match settle.ran {
             true => Mark::Ran,
             false => Mark::Free(settle.attempt),
         };
-        let taken = self.is_home(settle.key) && !self.handover.frozen;
+        let taken = self.is_home(settle.key) && !self.handover.is_frozen;
         match self.table.get(settle.key) {
-            Some(old) => self.update(settle.key, merge(old, told)),
-            None if taken && !self.table.is_full() => self.remember(clock.now, settle.key, told),
+            Some(old) => self.update(settle.key, merge(old, reported)),
+            None if taken && !self.table.is_full() => self.store(clock.now, settle.key, reported),
             None => {}
         }
         effects.push(Effect::Settled { taken });
     }
 
-    fn receive(&mut self, clock: Clock, claims: &[Transfer]) {
+    /// Stores the claims that a leaving agent hands over, also beyond the maximum number of claims.
+    fn store_transfers(&mut self, clock: Clock, claims: &[Transfer]) {
         for Transfer { key, mark } in claims {
             let own = self.table.get(*key);
-            self.remember(clock.now, *key, own.map_or(*mark, |own| merge(own, *mark)));
+            self.store(clock.now, *key, own.map_or(*mark, |own| merge(own, *mark)));
         }
     }
 
-    fn remember(&mut self, now: Instant, key: ClaimKey, mark: Mark) {
+    /// Stores a mark for the whole of [`RETENTION`].
+    fn store(&mut self, now: Instant, key: ClaimKey, mark: Mark) {
         self.table.set(now, key, mark);
-        self.handover.changed(key);
+        self.handover.mark_changed(key);
     }
 
+    /// Changes the mark of a stored claim, which keeps its expiry time.
     fn update(&mut self, key: ClaimKey, mark: Mark) {
         self.table.update(key, mark);
-        self.handover.changed(key);
+        self.handover.mark_changed(key);
     }
 
-    fn apply(&mut self, clock: Clock, records: Vec<Record>) {
+    /// Applies records of the membership stream and removes the fences that their epoch lifts.
+    fn apply_records(&mut self, clock: Clock, records: Vec<Record>) {
         for record in records {
-            // A record that was read before has no effect.
+            // A record that was applied before is returned as an error and has no effect.
             let applied = self.members.apply(record.offset, &record.payload);
-            self.gap |= matches!(applied, Err(config::Error::Gap { .. }));
+            self.has_gap |= matches!(applied, Err(config::Error::Gap { .. }));
         }
         self.members.prune(clock.wall);
         let epoch = self.members.epoch();
-        self.fenced.retain(|_, fence| *fence > epoch);
+        self.key_fences.retain(|_, fence| *fence > epoch);
     }
 
     fn is_home(&self, key: ClaimKey) -> bool {
         self.members.home(key).is_some_and(|home| home.id == self.settings.incarnation)
     }
 
-    /// Whether a run's claims are those that this process remembers.
+    /// Returns whether an incarnation is this process, now or before it joined again, so that its
+    /// claims are in this table.
     fn is_own(&self, incarnation: IncarnationId) -> bool {
-        incarnation == self.settings.incarnation || self.past.contains(&incarnation)
+        incarnation == self.settings.incarnation || self.past_incarnations.contains(&incarnation)
     }
 
     fn is_fenced(&self, key: ClaimKey) -> bool {
-        let fence = self.fenced.get(&key).copied().unwrap_or_default().max(self.fence);
+        let fence = self.key_fences.get(&key).copied().unwrap_or_default().max(self.common_fence);
         fence > self.members.epoch()
     }
 
+    /// Returns whether the epoch is complete and was confirmed recently enough to decide claims.
     fn is_confirmed(&self, now: Instant) -> bool {
-        !self.gap
-            && self.confirmed.is_some_and(|at| now.saturating_duration_since(at) <= STALE_LIMIT)
+        !self.has_gap
+            && self
+                .confirmed_at
+                .is_some_and(|at| now.saturating_duration_since(at) <= STALE_EPOCH_LIMIT)
     }
 }
 
-fn held(holder: RequestId, attempt: RequestId) -> Verdict {
+/// Returns the verdict on a key that `holder` holds: a repeated ask of the holder is granted again.
+fn verdict_of_held(holder: RequestId, attempt: RequestId) -> Verdict {
     if holder == attempt { Verdict::Granted } else { Verdict::Held }
 }
 
-/// Whether a run that ended surely never granted the key, or would have forgotten it by now. The
-/// clocks of the system's hosts bound both, never a caller's: a home refuses keys that are ahead
-/// of its own clock. A run that may go on does so no longer than without the log.
-fn is_over(home: &Home<'_>, clock: Clock, ask: &Ask) -> bool {
+/// Returns whether an incarnation that is no longer a member surely never granted the key, or
+/// granted it so long ago that the claim has expired. Such an incarnation need not be asked.
+///
+/// Both bounds rest on the clocks of the system's hosts, whose error is limited, and never on a
+/// caller's clock: a home rejects a key whose time is ahead of its own clock. A removed
+/// incarnation whose process may still run grants for at most [`STALE_EPOCH_LIMIT`] after its
+/// removal.
+fn cannot_have_claim(home: &Home<'_>, clock: Clock, ask: &Ask) -> bool {
     let Some(former) = home.former else {
         return false;
     };
-    let goes_on = match former.end {
-        End::Lost => STALE_LIMIT,
+    let may_grant_for = match former.end {
+        End::Lost => STALE_EPOCH_LIMIT,
         End::Ended | End::HandedOver => Duration::ZERO,
     };
-    let last_grant = former.left_at + goes_on + CLOCK_ERROR * 2;
-    let is_later = |minted| minted > last_grant + AHEAD_LIMIT;
-    ask.minted.is_some_and(is_later) || clock.wall > last_grant + RETENTION
+    let last_grant = former.left_at + may_grant_for + CLOCK_ERROR_LIMIT * 2;
+    let is_after_last_grant = |minted| minted > last_grant + KEY_AHEAD_LIMIT;
+    ask.minted.is_some_and(is_after_last_grant) || clock.wall > last_grant + RETENTION
 }
--- a/components/scheduler/src/claim/table.rs
+++ b/components/scheduler/src/claim/table.rs
@@ -1,4 +1,5 @@
-//! The claims that an agent remembers: each for a time, and no more than a number.
+//! Table of the claims that an agent stores, with an expiry time for each and a limit on their
+//! number.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,35 +12,38 @@
 };
 use uuid::Uuid;
 
-/// Time for which a claim is remembered after its grant; longer than any request may take.
+/// Time for which a claim is stored after its grant; longer than any request may take.
 pub const RETENTION: Duration = Duration::from_secs(4 * 3_600);
 
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     mark: Mark,
-    /// When it is forgotten.
-    until: Instant,
+    /// Time at which the claim is removed.
+    expires_at: Instant,
 }
 
+/// Time at which the claim of a key expires, unless it was stored again since.
 #[derive(Clone, Copy, Debug)]
 struct Expiry {
-    until: Instant,
+    at: Instant,
     key: ClaimKey,
 }
 
-/// Claims by key.
+/// Claims by key, removed when they expire.
 #[derive(Clone, Debug)]
 pub(super) struct Table {
     claims: BTreeMap<ClaimKey, Claim>,
-    /// At least one for each claim, in order.
+    /// At least one entry for each claim, in the order of their times.
     expiries: VecDeque<Expiry>,
-    /// Most claims that a grant may add to; a hand-over may go beyond it.
-    limit: usize,
+    /// Number of claims at which the table counts as full. The table itself doesn't enforce it:
+    /// claims that are handed over are stored beyond it.
+    capacity: usize,
 }
 
 impl Table {
-    pub(super) fn open(limit: usize) -> Table {
-        Table { claims: BTreeMap::new(), expiries: VecDeque::new(), limit }
+    /// Returns an empty table that counts as full at `capacity` claims.
+    pub(super) fn open(capacity: usize) -> Table {
+        Table { claims: BTreeMap::new(), expiries: VecDeque::new(), capacity }
     }
 
     pub(super) fn get(&self, key: ClaimKey) -> Option<Mark> {
@@ -51,44 +55,46 @@
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.claims.len() >= self.limit
+        self.claims.len() >= self.capacity
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = Transfer> {
         self.claims.iter().map(|(key, claim)| Transfer { key: *key, mark: claim.mark })
     }
 
-    /// Remembers a mark for the whole retention time from now on.
+    /// Stores a mark of a key until [`RETENTION`] after `now`.
     pub(super) fn set(&mut self, now: Instant, key: ClaimKey, mark: Mark) {
-        let until = now + RETENTION;
-        self.claims.insert(key, Claim { mark, until });
-        self.expiries.push_back(Expiry { until, key });
+        let expires_at = now + RETENTION;
+        self.claims.insert(key, Claim { mark, expires_at });
+        self.expiries.push_back(Expiry { at: expires_at, key });
     }
 
-    /// Changes the mark of a claim that is remembered; the time that remains stays.
+    /// Changes the mark of a stored claim without changing its expiry time; does nothing where the
+    /// key has no claim.
     pub(super) fn update(&mut self, key: ClaimKey, mark: Mark) {
         if let Some(claim) = self.claims.get_mut(&key) {
             claim.mark = mark;
         }
     }
 
+    /// Removes the claims whose expiry time is `now` or earlier.
     pub(super) fn expire(&mut self, now: Instant) {
-        while self.expiries.front().is_some_and(|expiry| expiry.until <= now) {
+        while self.expiries.front().is_some_and(|expiry| expiry.at <= now) {
             let Some(expiry) = self.expiries.pop_front() else {
                 return;
             };
-            if self.claims.get(&expiry.key).is_some_and(|claim| claim.until <= now) {
+            if self.claims.get(&expiry.key).is_some_and(|claim| claim.expires_at <= now) {
                 self.claims.remove(&expiry.key);
             }
         }
     }
 }
 
-/// What two memories of the same key come to.
+/// Merges two marks of the same key, reported by different agents or at different times.
 ///
-/// A run is never forgotten, and a claim gives way only to the word that its own attempt never
-/// ran. Two claims that differ can't be told apart by age, so the result is held by nobody: no
-/// release frees it.
+/// `Ran` outweighs every other mark. `Held` gives way only to `Free` of the same attempt, which
+/// proves that this attempt never ran. Two attempts that both hold the key can't be ordered by
+/// age, so the result is held by the nil attempt: no release frees the key before it expires.
 pub(super) fn merge(one: Mark, other: Mark) -> Mark {
     match (one, other) {
         (Mark::Ran, _) | (_, Mark::Ran) => Mark::Ran,
--- a/components/scheduler/src/membership.rs
+++ b/components/scheduler/src/membership.rs
@@ -1,7 +1,9 @@
-//! The fold over the membership stream: which agents hold claims, and which held them before.
+//! Fold over the membership stream: the agents that store claims now, and those that did so within
+//! [`WINDOW`].
 //!
-//! The epoch is the offset of the last applied record. The offset of an agent's join is its
-//! fencing number: a later run of the same agent always has a higher one.
+//! The stream is an append-only log of join and leave records. The epoch is the offset of the last
+//! applied record. An agent's incarnation begins with its join record, whose offset is its fencing
+//! number: a later incarnation of the same agent always has a higher one.
 
 mod home;
 
@@ -20,112 +22,121 @@
 
 use crate::config::Error;
 
-/// Time for which a former home is still asked for its claims. It covers the time that a claim
-/// is remembered and the time that a home may go on with an old epoch.
+/// Time after its end for which a former home of a key is still asked for its claims. It covers the
+/// time for which a claim is stored plus the time for which a home may grant under an old epoch.
 pub const WINDOW: Duration = Duration::from_secs(24 * 3_600);
-/// Most by which the clock of one of the system's hosts is wrong.
-pub const CLOCK_ERROR: Duration = Duration::from_secs(2);
+/// Maximum error of the wall clock of one of the system's hosts; the clocks of two hosts differ by
+/// at most twice as much.
+pub const CLOCK_ERROR_LIMIT: Duration = Duration::from_secs(2);
 
-/// One run of an agent, from its join to its end.
+/// Incarnation of an agent: its membership from one join record until it leaves or is replaced.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Incarnation {
-    /// The target that it stands beside.
+    /// Target that the agent serves.
     pub target: TargetName,
-    /// The host that it runs on.
+    /// Host that the agent runs on.
     pub host: HostName,
-    /// Names the run.
+    /// Unique id of the incarnation.
     pub id: IncarnationId,
-    /// Where it takes control calls.
+    /// Address at which the agent receives control calls.
     pub control: SocketAddr,
-    /// Offset of its join: its fencing number.
+    /// Offset of the join record, which is the incarnation's fencing number.
     pub joined: Offset,
     /// Hash of the target's name, for rendezvous hashing.
-    seed: u64,
+    target_hash: u64,
 }
 
-/// How a run of an agent ended, and with it what it remembered.
+/// How an incarnation ended, and what became of its claims.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
-    /// It handed its claims to those that stay.
+    /// The agent handed all its claims over to the remaining members before it left.
     HandedOver,
-    /// Its claims are lost, and it grants nothing any more: it said so itself, or its successor
-    /// listens at its address.
+    /// The claims are lost, and the incarnation surely grants no more keys: its own leave record
+    /// says so, or its successor has the same address, which only one process can listen at.
     Ended,
-    /// Its claims are lost, and its process may still run.
+    /// The incarnation was removed by another process, or replaced by one at another address. It
+    /// handed no claims over, and its process may still run and grant keys.
     Lost,
 }
 
-/// A run of an agent that is a member no more.
+/// Incarnation that is no longer a member.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Former {
-    /// The run.
+    /// Incarnation that ended.
     pub incarnation: Incarnation,
-    /// Offset of the record that ended it.
+    /// Offset of the record that ended the incarnation: its leave or its successor's join.
     pub left: Offset,
-    /// Time of that record.
+    /// Time of the record that ended the incarnation; never earlier than that of a previous record.
     pub left_at: SystemTime,
-    /// How it ended.
+    /// How the incarnation ended.
     pub end: End,
 }
 
-/// What a record came to.
+/// Result of applying a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It changed the members.
+    /// The record changed the members.
     Applied,
-    /// It was passed over: unknown in form, about another run, or from an old epoch.
+    /// The record changed no member: its schema is unknown, it names another incarnation, it
+    /// repeats an earlier record, or its hand-over was under an old epoch.
     Ignored,
 }
 
-/// A record's time, for the epoch that stood at a time.
+/// Time of a record, from which the epoch at a given time is found.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Moment {
+struct RecordTime {
     offset: Offset,
-    /// Never before the time of an earlier record, whatever the clocks said.
+    /// The record's own time, or that of an earlier record if that is later: times never decrease
+    /// from record to record, even where the clocks of the appending hosts differ.
     at: SystemTime,
 }
 
-/// The members as of one offset.
+/// Membership as of one offset of the stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct State {
-    /// Offset of the last applied record; never falls.
+    /// Offset of the last applied record, 0 before the first; never decreases.
     epoch: Offset,
     members: BTreeMap<TargetName, Incarnation>,
-    /// Runs that ended within the window, in the order of their ends.
+    /// Incarnations that ended within [`WINDOW`], in the order of the records that ended them.
     former: VecDeque<Former>,
-    /// Records within the window, in their order.
-    moments: VecDeque<Moment>,
-    /// Epoch that stood when the window began.
+    /// Times of the records within [`WINDOW`], in the order of their offsets.
+    record_times: VecDeque<RecordTime>,
+    /// Epoch at the beginning of the window: offset of the last record before it.
     window_start: Offset,
 }
 
 impl State {
-    /// Offset of the last applied record.
+    /// Returns the offset of the last applied record; 0 before the first.
     pub fn epoch(&self) -> Offset {
         self.epoch
     }
 
-    /// The agents that hold claims, in the order of their targets.
+    /// Returns the current members, in the order of their targets' names.
     pub fn members(&self) -> impl Iterator<Item = &Incarnation> {
         self.members.values()
     }
 
-    /// The run of a target's agent that is a member.
+    /// Returns the incarnation of a target's agent that is a member; `None` if there is none.
     pub fn incarnation(&self, target: &str) -> Option<&Incarnation> {
         self.members.get(target)
     }
 
-    /// The runs that ended within the window, in the order of their ends.
+    /// Returns the incarnations that ended within [`WINDOW`], in the order of the records that
+    /// ended them.
     pub fn former(&self) -> impl Iterator<Item = &Former> {
         self.former.iter()
     }
 
-    /// Time of the last record within the window.
+    /// Returns the time of the last record; `None` if [`WINDOW`] contains none.
     pub fn latest(&self) -> Option<SystemTime> {
-        self.moments.back().map(|moment| moment.at)
+        self.record_times.back().map(|record| record.at)
     }
 
-    /// Applies the next record; one that can't be read is passed over by every process alike.
+    /// Applies the next record of the stream.
+    ///
+    /// A record that can't be parsed, or has an unknown schema, advances the epoch and changes
+    /// nothing else; all processes treat it the same. An offset that was applied before, or that
+    /// skips a record, is an error and leaves the state unchanged.
     pub fn apply(&mut self, offset: Offset, payload: &str) -> Result<Outcome, Error> {
         if offset <= self.epoch {
             return Err(Error::Stale(offset));
@@ -141,14 +152,15 @@
         Ok(outcome)
     }
 
-    /// Forgets what ended before the window; `now` is the clock of this process.
+    /// Removes the times of records, and the incarnations that ended, before [`WINDOW`]. `now` is
+    /// the wall clock of this process; the window is extended by the error of two clocks.
     pub fn prune(&mut self, now: SystemTime) {
-        let Some(start) = now.checked_sub(WINDOW + CLOCK_ERROR * 2) else {
+        let Some(start) = now.checked_sub(WINDOW + CLOCK_ERROR_LIMIT * 2) else {
             return;
         };
-        while self.moments.front().is_some_and(|moment| moment.at < start) {
-            if let Some(moment) = self.moments.pop_front() {
-                self.window_start = moment.offset;
+        while self.record_times.front().is_some_and(|record| record.at < start) {
+            if let Some(record) = self.record_times.pop_front() {
+                self.window_start = record.offset;
             }
         }
         while self.former.front().is_some_and(|former| former.left <= self.window_start) {
@@ -156,30 +168,33 @@
         }
     }
 
+    /// Applies the action of a record at a time that is never earlier than that of the last record.
     fn change(&mut self, offset: Offset, record: Record) -> Outcome {
-        let at = self.moments.back().map_or(record.at, |last| last.at.max(record.at));
+        let at = self.record_times.back().map_or(record.at, |last| last.at.max(record.at));
         let outcome = match record.action {
             Action::Join(join) => self.join(offset, at, join),
             Action::Leave(leave) => self.leave(offset, at, &leave),
         };
-        self.moments.push_back(Moment { offset, at });
+        self.record_times.push_back(RecordTime { offset, at });
         outcome
     }
 
+    /// Adds an incarnation, which replaces a member of the same target. A repeated join is ignored,
+    /// also one of an incarnation that has ended.
     fn join(&mut self, offset: Offset, at: SystemTime, join: Join) -> Outcome {
-        let again = |old: &Incarnation| old.id == join.incarnation;
-        let ended = self.former.iter().any(|former| again(&former.incarnation));
-        if ended || self.members.get(&join.target).is_some_and(again) {
+        let is_same = |old: &Incarnation| old.id == join.incarnation;
+        let has_ended = self.former.iter().any(|former| is_same(&former.incarnation));
+        if has_ended || self.members.get(&join.target).is_some_and(is_same) {
             return Outcome::Ignored;
         }
-        let seed = home::seed(&join.target);
+        let target_hash = home::hash(&join.target);
         let incarnation = Incarnation {
             target: join.target.clone(),
             host: join.host,
             id: join.incarnation,
             control: join.control,
             joined: offset,
-            seed,
+            target_hash,
         };
         if let Some(old) = self.members.insert(join.target, incarnation) {
             let end = if old.control == join.control { End::Ended } else { End::Lost };
@@ -188,6 +203,8 @@
         Outcome::Applied
     }
 
+    /// Removes an incarnation. The record is ignored if it names another incarnation than the
+    /// member, or if its hand-over was completed under another epoch than the current one.
     fn leave(&mut self, offset: Offset, at: SystemTime, leave: &Leave) -> Outcome {
         let is_member = self.members.get(&leave.target).is_some_and(|m| m.id == leave.incarnation);
         let is_current = leave.handed_over.is_none_or(|epoch| epoch == self.epoch);
--- a/components/scheduler/src/membership/home.rs
+++ b/components/scheduler/src/membership/home.rs
@@ -1,4 +1,6 @@
-//! Homes of a key: rendezvous hashing over the members, now and within the window.
+//! Homes of a key: the members to which rendezvous hashing assigns it, now and within [`WINDOW`].
+//!
+//! [`WINDOW`]: super::WINDOW
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
@@ -6,25 +8,26 @@
 
 use super::{End, Former, Incarnation, State};
 
-/// A run of an agent that is, or was, a key's home.
+/// Incarnation that is, or was, the home of a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Home<'a> {
-    /// The run.
+    /// Incarnation that is or was the home.
     pub incarnation: &'a Incarnation,
-    /// Its end; `None` while it is a member.
+    /// End of the incarnation; `None` while it is a member.
     pub former: Option<&'a Former>,
-    /// Offset at which it stopped to be the key's home; `Offset::MAX` while it is.
+    /// Offset of the record with which the incarnation ceased to be the key's home; `Offset::MAX`
+    /// while it is the home.
     pub until: Offset,
 }
 
-/// A run with its score for one key, and the offsets between which it was a member.
+/// Incarnation with its score for one key. The incarnation with the highest score is the home.
 struct Candidate<'a> {
     score: u64,
     incarnation: &'a Incarnation,
     former: Option<&'a Former>,
 }
 
-/// Offsets from `from` to before `to`.
+/// Offsets from `from`, inclusive, to `to`, exclusive.
 #[derive(Clone, Copy)]
 struct Span {
     from: Offset,
@@ -32,31 +35,35 @@
 }
 
 impl State {
-    /// The key's home in this epoch.
+    /// Returns the key's home in the current epoch; `None` without members.
     pub fn home(&self, key: ClaimKey) -> Option<&Incarnation> {
-        best(self.members.values(), key)
+        highest_scored(self.members.values(), key)
     }
 
-    /// The key's home once an agent has left.
+    /// Returns the home that the key has once the incarnation `leaving` has left; `None` without
+    /// other members.
     pub fn next_home(&self, key: ClaimKey, leaving: IncarnationId) -> Option<&Incarnation> {
-        best(self.members.values().filter(|member| member.id != leaving), key)
+        highest_scored(self.members.values().filter(|member| member.id != leaving), key)
     }
 
-    /// Every run that was the key's home at some epoch within the window, best score first.
+    /// Returns every incarnation that was the key's home at some epoch within the window, in
+    /// descending order of scores.
     ///
-    /// Scores don't change between epochs: the best run was the home for as long as it was a
-    /// member, the next best for what remains, until the whole window is covered.
+    /// Scores don't change between epochs. The incarnation with the highest score was the home for
+    /// as long as it was a member, the one with the next highest score for the remaining offsets,
+    /// and so on until the whole window is covered.
     pub fn homes(&self, key: ClaimKey) -> Vec<Home<'_>> {
-        let mut open = vec![Span { from: self.window_start, to: Offset::MAX }];
+        let mut uncovered = vec![Span { from: self.window_start, to: Offset::MAX }];
         let mut candidates = self.candidates(key);
         let mut homes = Vec::new();
-        while let Some(candidate) = candidates.pop().filter(|_| !open.is_empty()) {
+        while let Some(candidate) = candidates.pop().filter(|_| !uncovered.is_empty()) {
             let span = candidate.span();
-            let until = open.iter().filter_map(|gap| gap.overlap(span)).map(|part| part.to).max();
+            let overlaps = uncovered.iter().filter_map(|gap| gap.overlap(span));
+            let until = overlaps.map(|overlap| overlap.to).max();
             if let Some(until) = until {
                 let Candidate { incarnation, former, .. } = candidate;
                 homes.push(Home { incarnation, former, until });
-                open = open.iter().flat_map(|gap| gap.without(span)).collect();
+                uncovered = uncovered.iter().flat_map(|gap| gap.without(span)).collect();
             }
         }
         homes
@@ -75,13 +82,15 @@
 }
 
 impl Home<'_> {
-    /// Whether this run's claims are somewhere else by now, so that nobody need ask it.
-    pub fn handed_over(&self) -> bool {
+    /// Returns whether the incarnation handed its claims over before it left, so that it need not
+    /// be asked.
+    pub fn has_handed_over(&self) -> bool {
         self.former.is_some_and(|former| former.end == End::HandedOver)
     }
 }
 
 impl Candidate<'_> {
+    /// Returns the offsets at which the incarnation was a member.
     fn span(&self) -> Span {
         let to = self.former.map_or(Offset::MAX, |former| former.left);
         Span { from: self.incarnation.joined, to }
@@ -126,7 +135,8 @@
     }
 }
 
-fn best<'a>(
+/// Returns the member with the highest score for a key.
+fn highest_scored<'a>(
     members: impl Iterator<Item = &'a Incarnation>,
     key: ClaimKey,
 ) -> Option<&'a Incarnation> {
@@ -138,22 +148,25 @@
     scored.max().map(|candidate| candidate.incarnation)
 }
 
-/// Hash of a target's name.
-pub(super) fn seed(target: &str) -> u64 {
-    let mut word = [0; size_of::<u64>()];
-    blake3::Hasher::new().update(target.as_bytes()).finalize_xof().fill(&mut word);
-    u64::from_le_bytes(word)
+/// Returns the hash of a target's name that enters the scores of its agent's incarnations.
+pub(super) fn hash(target: &str) -> u64 {
+    let mut bytes = [0; size_of::<u64>()];
+    blake3::Hasher::new().update(target.as_bytes()).finalize_xof().fill(&mut bytes);
+    u64::from_le_bytes(bytes)
 }
 
-/// A member's score for a key. Both are hashes already, so a cheap mix is enough: a claim at the
-/// target size costs ten thousand of these, where `placement` scores a pool's few targets.
+/// Returns an incarnation's score for a key.
+///
+/// The key and the target's hash are well distributed, so a cheap mix is enough. It has to be
+/// cheap: with the ten thousand members that the system is designed for, one claim computes ten
+/// thousand scores, whereas `placement` scores only the few targets of a pool.
 fn score(key: ClaimKey, incarnation: &Incarnation) -> u64 {
     let low = key as u64;
     let high = (key >> u64::BITS) as u64;
-    mix(mix(low ^ incarnation.seed) ^ high)
+    mix(mix(low ^ incarnation.target_hash) ^ high)
 }
 
-/// The finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
+/// Finalizer of SplitMix64 (Steele, Lea and Flood, 2014): maps similar inputs to unrelated outputs.
 fn mix(word: u64) -> u64 {
     let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/components/scheduler/tests/claim_fuzz.rs
+++ b/components/scheduler/tests/claim_fuzz.rs
@@ -1,4 +1,5 @@
-//! Claims under faults, against the oracle that each key ran at most once.
+//! Claims under faults: lost, repeated and reordered messages, crashes, removals and clock
+//! advances. The property checked is that each key runs at most once.
 
 mod support;
 
@@ -15,7 +16,8 @@
 const AGENTS: usize = 4;
 const KEYS: u128 = 3;
 
-/// What happens next; numbers choose among what there is, from its end.
+/// Step of a history. Numbers of attempts and messages count from the latest, which is 0; a step
+/// whose number is out of range does nothing.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive { key: u128, lag: usize, skew: Duration },
@@ -25,7 +27,7 @@
     Deliver(usize),
     DeliverAll,
     Lose { message: usize, after_effect: bool },
-    Double(usize),
+    Duplicate(usize),
     Start(usize),
     Kill(usize),
     CatchUp { agent: usize, behind: Offset },
@@ -43,7 +45,8 @@
     (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)
 }
 
-fn step(longest: u64) -> BoxedStrategy<Step> {
+/// Returns a strategy of steps that advance the clocks by at most `max_advance_s` seconds.
+fn step(max_advance_s: u64) -> BoxedStrategy<Step> {
     let agent = || 0..AGENTS;
     let recent = || 0..12_usize;
     let lag = || prop_oneof![3 => Just(0), 1 => 0..6_usize];
@@ -58,7 +61,7 @@
         6 => Just(Step::DeliverAll),
         3 => (recent(), any::<bool>())
             .prop_map(|(message, after_effect)| Step::Lose { message, after_effect }),
-        3 => recent().prop_map(Step::Double),
+        3 => recent().prop_map(Step::Duplicate),
         6 => agent().prop_map(Step::Start),
         2 => agent().prop_map(Step::Kill),
         3 => agent().prop_map(Step::Drain),
@@ -69,16 +72,18 @@
         3 => agent().prop_map(Step::Freeze),
         3 => agent().prop_map(Step::Leave),
         1 => agent().prop_map(Step::Thaw),
-        2 => (1..=longest).prop_map(|seconds| Step::Advance(Duration::from_secs(seconds))),
+        2 => (1..=max_advance_s).prop_map(|seconds| Step::Advance(Duration::from_secs(seconds))),
     ]
     .boxed()
 }
 
-/// Any step may come at any time: the reference keeps nothing.
-struct Opaque;
-struct Timed;
+/// Generator of steps for keys that carry no time. It has no state: any step may follow any other.
+struct OpaqueKeySteps;
+/// Generator of steps for keys that carry a time, which also advances the clocks by up to half a
+/// day.
+struct TimedKeySteps;
 
-impl ReferenceStateMachine for Opaque {
+impl ReferenceStateMachine for OpaqueKeySteps {
     type State = ();
     type Transition = Step;
 
@@ -93,7 +98,7 @@
     fn apply((): (), _: &Step) {}
 }
 
-impl ReferenceStateMachine for Timed {
+impl ReferenceStateMachine for TimedKeySteps {
     type State = ();
     type Transition = Step;
 
@@ -108,13 +113,15 @@
     fn apply((): (), _: &Step) {}
 }
 
-fn from_end(len: usize, number: usize) -> Option<usize> {
+/// Returns the index of the item that has `number` items after it; `None` where there is none.
+fn index_from_end(len: usize, number: usize) -> Option<usize> {
     len.checked_sub(1 + number)
 }
 
-fn take(world: &mut World, step: Step) {
-    let message = |world: &World, number| from_end(world.messages.len(), number);
-    let attempt = |world: &World, number| from_end(world.attempts.len(), number);
+/// Carries out one step.
+fn apply_step(world: &mut World, step: Step) {
+    let message = |world: &World, number| index_from_end(world.messages.len(), number);
+    let attempt = |world: &World, number| index_from_end(world.attempts.len(), number);
     match step {
         Step::Arrive { key: number, lag, skew } => world.arrive(key(number), lag, skew),
         Step::Repeat { attempt: number, lag } => {
@@ -131,11 +138,11 @@
         Step::Lose { message: number, after_effect } => {
             message(world, number).into_iter().for_each(|index| world.lose(index, after_effect));
         }
-        Step::Double(number) => {
-            let doubled = message(world, number).map(|index| world.messages[index].clone());
-            // A hand-over that is doubled would be counted twice as unanswered.
-            let doubled = doubled.filter(|m| !matches!(m, world::Message::HandOver { .. }));
-            world.messages.extend(doubled);
+        Step::Duplicate(number) => {
+            let copy = message(world, number).map(|index| world.messages[index].clone());
+            // A second copy of a hand-over would be counted as one more unanswered message.
+            let copy = copy.filter(|m| !matches!(m, world::Message::HandOver { .. }));
+            world.messages.extend(copy);
         }
         Step::Start(agent) => world.start(agent),
         Step::Kill(agent) => world.kill(agent),
@@ -153,15 +160,18 @@
     }
 }
 
-/// An entry that gives up a request that holds its key says `not_run` of the key.
+/// Cancels an attempt before it starts. An entry that cancels an attempt which holds its key answers
+/// `not_run`, which must not be answered for a key that ran.
 fn release(world: &mut World, index: usize) {
     let key = world.attempts[index].key;
     if world.release(index) {
-        assert!(!world.ran.contains(&key), "`not_run` was said of a key that ran");
+        assert!(!world.ran.contains(&key), "`not_run` was answered for a key that ran");
     }
 }
 
-fn check(world: &World) {
+/// Panics if a key ran more than once, or if two attempts may still run. An attempt past its
+/// deadline can't run any more, so a key with one may have another holder.
+fn assert_at_most_one_run(world: &World) {
     for key in (0..KEYS).map(key) {
         let ran = world.ran.iter().filter(|ran| **ran == key).count();
         assert!(ran <= 1, "a key ran {ran} times");
@@ -170,35 +180,37 @@
     }
 }
 
-struct Opaquely;
-struct Timely;
+/// Test with keys that carry no time.
+struct OpaqueKeyTest;
+/// Test with keys that carry a time.
+struct TimedKeyTest;
 
-impl StateMachineTest for Opaquely {
+impl StateMachineTest for OpaqueKeyTest {
     type SystemUnderTest = World;
-    type Reference = Opaque;
+    type Reference = OpaqueKeySteps;
 
     fn init_test((): &()) -> World {
         world::open(AGENTS, 2, false)
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
-        take(&mut world, step);
-        check(&world);
+        apply_step(&mut world, step);
+        assert_at_most_one_run(&world);
         world
     }
 }
 
-impl StateMachineTest for Timely {
+impl StateMachineTest for TimedKeyTest {
     type SystemUnderTest = World;
-    type Reference = Timed;
+    type Reference = TimedKeySteps;
 
     fn init_test((): &()) -> World {
         world::open(AGENTS, 2, true)
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
-        take(&mut world, step);
-        check(&world);
+        apply_step(&mut world, step);
+        assert_at_most_one_run(&world);
         world
     }
 }
@@ -207,8 +219,8 @@
     #![proptest_config(cases(1_500))]
 
     #[test]
-    fn an_opaque_key_runs_at_most_once(sequential 20..120 => Opaquely);
+    fn a_key_without_a_time_runs_at_most_once(sequential 20..120 => OpaqueKeyTest);
 
     #[test]
-    fn a_key_with_a_time_runs_at_most_once(sequential 20..120 => Timely);
+    fn a_key_with_a_time_runs_at_most_once(sequential 20..120 => TimedKeyTest);
 }
--- a/components/scheduler/tests/claims.rs
+++ b/components/scheduler/tests/claims.rs
@@ -1,4 +1,5 @@
-//! Claims, decision by decision, and against the naive version: an append for each claim.
+//! Single decisions of the reducer of claims, and a comparison with a naive implementation that
+//! appends a record to a log for each claim.
 
 mod support;
 
@@ -13,7 +14,9 @@
 };
 use proptest::prelude::*;
 use scheduler::{
-    claim::{self, AHEAD_LIMIT, Clock, Effect, Event, RETENTION, STALE_LIMIT, Settings, State},
+    claim::{
+        self, Clock, Effect, Event, KEY_AHEAD_LIMIT, RETENTION, STALE_EPOCH_LIMIT, Settings, State,
+    },
     entry::Record,
 };
 use support::{
@@ -46,9 +49,9 @@
     Event::Records(numbered.map(record).collect())
 }
 
-/// The only member, with room for a few claims.
-fn alone(clock: Clock, claims: usize) -> State {
-    let mut state = claim::open(Settings { incarnation: run(1), claims });
+/// Returns the state of an agent that is the only member and stores at most `max_claims` claims.
+fn only_member(clock: Clock, max_claims: usize) -> State {
+    let mut state = claim::open(Settings { incarnation: run(1), claims: max_claims });
     claim::reduce(&mut state, clock, records(&[join(0, 1, clock.wall)]));
     claim::reduce(&mut state, clock, Event::CaughtUp);
     state
@@ -65,35 +68,40 @@
     claim::reduce(state, clock, Event::Settle(settle));
 }
 
+/// An entry repeats its ask after a lost reply. The repeat must be granted too, and no other
+/// attempt.
 #[test]
 fn a_key_is_granted_again_only_to_the_same_attempt() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
 
     let first = verdict(&mut state, now, ask(1, 1));
-    let again = verdict(&mut state, now, ask(1, 1));
+    let repeated = verdict(&mut state, now, ask(1, 1));
     let other = verdict(&mut state, now, ask(2, 1));
 
-    assert_eq!([first, again, other], [Verdict::Granted, Verdict::Granted, Verdict::Held]);
+    assert_eq!([first, repeated, other], [Verdict::Granted, Verdict::Granted, Verdict::Held]);
 }
 
+/// A delayed copy of a released attempt's ask arrives after the release. Granting it would let an
+/// attempt run that its entry has reported as never run.
 #[test]
-fn a_released_key_is_granted_to_the_next_attempt_and_never_to_a_late_copy() {
+fn a_released_key_is_granted_to_the_next_attempt_but_not_to_a_delayed_copy_of_the_released_one() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
     settle(&mut state, now, 1, false);
 
-    let late = verdict(&mut state, now, ask(1, 1));
+    let delayed = verdict(&mut state, now, ask(1, 1));
     let next = verdict(&mut state, now, ask(2, 1));
 
-    assert_eq!([late, next], [Verdict::Held, Verdict::Granted]);
+    assert_eq!([delayed, next], [Verdict::Held, Verdict::Granted]);
 }
 
+/// A release that arrives after the report that the attempt ran must not free the key.
 #[test]
-fn a_key_that_ran_says_so() {
+fn a_key_whose_attempt_ran_stays_ran_after_a_release() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
     settle(&mut state, now, 1, true);
     settle(&mut state, now, 1, false);
@@ -103,21 +111,23 @@
     assert_eq!(repeat, Verdict::Ran);
 }
 
+/// An agent with an old membership epoch may not know that another agent is the key's home now.
 #[test]
-fn an_agent_that_is_behind_or_unconfirmed_grants_nothing() {
+fn an_agent_with_an_older_or_unconfirmed_epoch_grants_nothing() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
 
     let behind = verdict(&mut state, now, ask(1, 2));
-    let unconfirmed = verdict(&mut state, later(now, STALE_LIMIT * 2), ask(1, 1));
+    let unconfirmed = verdict(&mut state, later(now, STALE_EPOCH_LIMIT * 2), ask(1, 1));
 
     assert_eq!([behind, unconfirmed], [Verdict::Behind { epoch: 1 }; 2]);
 }
 
+/// A missing record may be the one that made another agent the key's home.
 #[test]
-fn an_agent_whose_records_have_a_gap_grants_nothing() {
+fn an_agent_that_misses_a_membership_record_grants_nothing() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     let record = Record { offset: 3, payload: join(1, 2, now.wall) };
     claim::reduce(&mut state, now, Event::Records(vec![record]));
     claim::reduce(&mut state, now, Event::CaughtUp);
@@ -127,25 +137,29 @@
     assert_eq!(verdict, Verdict::Behind { epoch: 1 });
 }
 
+/// Without the bound, and the expiry that makes room again, the memory of an agent would grow with
+/// every key.
 #[test]
-fn a_key_is_remembered_for_the_retention_time_and_the_claims_are_bounded() {
+fn a_claim_counts_towards_the_maximum_until_the_retention_ends() {
     let now = clock();
-    let mut state = alone(now, 1);
+    let mut state = only_member(now, 1);
     verdict(&mut state, now, ask(1, 1));
 
     let full = verdict(&mut state, now, Ask { key: KEY + 1, ..ask(2, 1) });
-    let forgotten = later(now, RETENTION);
-    let next = verdict(&mut state, forgotten, Ask { key: KEY + 1, ..ask(2, 1) });
+    let after_retention = later(now, RETENTION);
+    let next = verdict(&mut state, after_retention, Ask { key: KEY + 1, ..ask(2, 1) });
 
     assert_eq!([full, next], [Verdict::Full, Verdict::Granted]);
     assert_eq!(state.len(), 1);
 }
 
+/// A key older than the retention may have run and been removed from the table since. A key ahead
+/// of the clock would pass the age check for longer than its claim is stored.
 #[test]
-fn a_key_with_a_time_is_refused_ahead_of_the_clock_and_after_the_retention() {
+fn a_key_with_a_time_is_rejected_ahead_of_the_clock_and_after_the_retention() {
     let now = clock();
-    let mut state = alone(now, 9);
-    let ahead = now.wall + AHEAD_LIMIT * 2;
+    let mut state = only_member(now, 9);
+    let ahead = now.wall + KEY_AHEAD_LIMIT * 2;
     let old = now.wall - RETENTION;
 
     let ahead = verdict(&mut state, now, Ask { minted: Some(ahead), ..ask(1, 1) });
@@ -154,10 +168,12 @@
     assert_eq!([ahead, old], [Verdict::Ahead, Verdict::Expired]);
 }
 
+/// After a restart, an agent receives a question for its earlier incarnation, whose claims it
+/// doesn't have. An answer that the key is unknown would allow a second grant.
 #[test]
-fn a_question_about_another_run_is_answered_by_nobody() {
+fn a_question_for_another_incarnation_is_not_answered_as_an_unknown_key() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     let question = Question { key: KEY, incarnation: run(9), epoch: 1, free: None };
 
     let effects = claim::reduce(&mut state, now, Event::Asked(question));
@@ -165,10 +181,12 @@
     assert_eq!(effects, [Effect::Tell(Answer::Stranger)]);
 }
 
+/// Two agents hand over claims of the same key by different attempts. A release of one attempt
+/// doesn't show that the other never ran.
 #[test]
-fn two_claims_of_one_key_are_freed_by_no_release() {
+fn a_key_with_claims_of_two_attempts_is_freed_by_no_release() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     for number in [1, 2] {
         let transfer = Transfer { key: KEY, mark: Mark::Held(attempt(number)) };
         claim::reduce(&mut state, now, Event::Received(vec![transfer]));
@@ -181,26 +199,29 @@
     assert_eq!(verdict, Verdict::Held);
 }
 
+/// The messages of a failed hand-over may have been lost. An agent that left after sending only
+/// later changes would lose claims.
 #[test]
-fn a_hand_over_that_failed_is_given_again_as_a_whole() {
+fn after_a_failed_hand_over_all_claims_are_sent_again() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
-    let joined = [join(0, 1, now.wall), join(1, 2, now.wall)];
-    claim::reduce(&mut state, now, records(&joined));
+    let joins = [join(0, 1, now.wall), join(1, 2, now.wall)];
+    claim::reduce(&mut state, now, records(&joins));
     claim::reduce(&mut state, now, Event::HandOver);
     claim::reduce(&mut state, now, Event::HandOverFailed);
     claim::reduce(&mut state, now, Event::Freeze);
 
     let before = state.handed_over();
-    let again = claim::reduce(&mut state, now, Event::HandOver);
+    let repeated = claim::reduce(&mut state, now, Event::HandOver);
 
     assert_eq!((before, state.handed_over()), (None, Some(2)));
-    assert!(matches!(again.as_slice(), [Effect::HandOver { claims, .. }] if claims.len() == 1));
+    assert!(matches!(repeated.as_slice(), [Effect::HandOver { claims, .. }] if claims.len() == 1));
 }
 
+/// The membership changes while a question is in flight, so that other agents may have to be asked.
 #[test]
-fn an_answer_from_an_older_epoch_decides_nothing() {
+fn an_answer_to_a_question_of_an_older_epoch_decides_no_claim() {
     let now = clock();
     let mut state = claim::open(Settings { incarnation: run(2), claims: 9 });
     let mut log = vec![join(0, 1, now.wall), join(1, 2, now.wall)];
@@ -218,20 +239,24 @@
     assert_eq!(effects, [Effect::Reply { attempt: attempt(1), verdict: behind }]);
 }
 
+/// An agent was removed as lost, but its process may still run and grant keys under its old epoch.
+/// While it may do so, a new key isn't granted without its answer. Once its epoch is too old to
+/// grant by, new keys are granted without asking it, so that a lost agent doesn't block them for
+/// good.
 #[test]
-fn a_run_that_was_taken_for_lost_is_over_once_it_would_have_stopped_without_the_log() {
+fn a_removed_agent_is_not_asked_about_keys_made_after_its_epoch_became_too_old() {
     let now = clock();
     let mut state = claim::open(Settings { incarnation: run(2), claims: 9 });
     let log = [join(0, 1, now.wall), join(1, 2, now.wall), removal(0, 1, now.wall)];
     claim::reduce(&mut state, now, records(&log));
     let minted = |clock: Clock| Ask { minted: Some(clock.wall), ..ask(1, 3) };
-    let soon = later(now, AHEAD_LIMIT * 9);
-    let late = later(now, STALE_LIMIT + AHEAD_LIMIT * 9);
+    let early = later(now, KEY_AHEAD_LIMIT * 9);
+    let late = later(now, STALE_EPOCH_LIMIT + KEY_AHEAD_LIMIT * 9);
 
-    claim::reduce(&mut state, soon, Event::CaughtUp);
-    let asked = claim::reduce(&mut state, soon, Event::Claim(minted(soon)));
+    claim::reduce(&mut state, early, Event::CaughtUp);
+    let asked = claim::reduce(&mut state, early, Event::Claim(minted(early)));
     let answered = Event::Answered { key: KEY, incarnation: run(1), answer: None };
-    let unsure = claim::reduce(&mut state, soon, answered);
+    let unsure = claim::reduce(&mut state, early, answered);
     claim::reduce(&mut state, late, Event::CaughtUp);
     let granted = verdict(&mut state, late, minted(late));
 
@@ -240,24 +265,27 @@
     assert_eq!(granted, Verdict::Granted);
 }
 
+/// A process that was removed as lost still runs and joins again. It still has the claims of its
+/// earlier incarnation, and other homes ask it for them.
 #[test]
-fn a_run_that_joins_again_answers_for_what_it_granted_before() {
+fn an_agent_that_rejoins_answers_for_its_earlier_incarnation() {
     let now = clock();
-    let mut state = alone(now, 9);
+    let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
     let log = [join(0, 1, now.wall), removal(0, 1, now.wall), join(0, 2, now.wall)];
     claim::reduce(&mut state, now, Event::Rejoin(run(2)));
     claim::reduce(&mut state, now, records(&log));
 
     let question = Question { key: KEY, incarnation: run(1), epoch: 3, free: None };
-    let told = claim::reduce(&mut state, now, Event::Asked(question));
-    let again = verdict(&mut state, now, ask(2, 3));
+    let answer = claim::reduce(&mut state, now, Event::Asked(question));
+    let second = verdict(&mut state, now, ask(2, 3));
 
-    assert_eq!(told, [Effect::Tell(Answer::Known(Mark::Held(attempt(1))))]);
-    assert_eq!(again, Verdict::Held);
+    assert_eq!(answer, [Effect::Tell(Answer::Known(Mark::Held(attempt(1))))]);
+    assert_eq!(second, Verdict::Held);
 }
 
-/// A step of a history without faults.
+/// Step of a history without faults. `Run` and `Release` count attempts from the latest, which is
+/// 0.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(u128),
@@ -267,13 +295,14 @@
     Drain(usize),
 }
 
-/// The naive version: a claim is an append, and the first that wasn't taken back wins.
+/// Naive implementation: each claim is appended to a log, and the first one that wasn't released
+/// is granted.
 #[derive(Default)]
-struct Naive {
+struct NaiveClaims {
     log: BTreeMap<ClaimKey, Vec<RequestId>>,
 }
 
-impl Naive {
+impl NaiveClaims {
     fn claim(&mut self, key: ClaimKey, attempt: RequestId) -> bool {
         let claims = self.log.entry(key).or_default();
         claims.push(attempt);
@@ -298,10 +327,13 @@
 proptest! {
     #![proptest_config(cases(300))]
 
+    /// Joins and drains between the claims must not change which attempts are granted.
     #[test]
-    fn without_faults_claims_decide_as_the_log_would(steps in prop::collection::vec(step(), 1..80)) {
+    fn without_faults_the_same_attempts_are_granted_as_by_a_log(
+        steps in prop::collection::vec(step(), 1..80),
+    ) {
         let mut world = world::open(5, 3, false);
-        let mut naive = Naive::default();
+        let mut naive = NaiveClaims::default();
 
         for step in steps {
             match step {
