--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -178,6 +178,8 @@
         match self.table.get(ask.key) {
             Some(Mark::Held(holder)) => Some(verdict_of_held(holder, ask.attempt)),
             Some(Mark::Ran) => Some(Verdict::Ran),
+            // The released attempt was reported as never run, so a delayed copy of its ask mustn't
+            // be granted.
             Some(Mark::Free(released)) if released == ask.attempt => Some(Verdict::Held),
             Some(Mark::Free(_)) => self.check_key_time(clock, ask),
             None if self.table.is_full() => Some(Verdict::Full),
--- a/components/scheduler/tests/claim_fuzz.rs
+++ b/components/scheduler/tests/claim_fuzz.rs
@@ -13,45 +13,67 @@
     world::{self, Stage, World},
 };
 
-const AGENTS: usize = 4;
-const KEYS: u128 = 3;
+const AGENT_COUNT: usize = 4;
+const KEY_COUNT: u128 = 3;
 
 /// Step of a history. Numbers of attempts and messages count from the latest, which is 0; a step
 /// whose number is out of range does nothing.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { key: u128, lag: usize, skew: Duration },
-    Repeat { attempt: usize, lag: usize },
+    /// A new attempt asks for a key through an entry that is `lag` epochs behind. On the first
+    /// attempt of a key, `skew` less 20 s is the time by which the key is ahead of the clock.
+    Arrive {
+        key: u128,
+        lag: usize,
+        skew: Duration,
+    },
+    /// An attempt asks again.
+    Repeat {
+        attempt: usize,
+        lag: usize,
+    },
     Run(usize),
     Release(usize),
     Deliver(usize),
     DeliverAll,
-    Lose { message: usize, after_effect: bool },
+    /// A message is lost or, with `after_effect`, only the answer to it.
+    Lose {
+        message: usize,
+        after_effect: bool,
+    },
     Duplicate(usize),
     Start(usize),
     Kill(usize),
-    CatchUp { agent: usize, behind: Offset },
+    /// An agent reads the log up to `behind` records before its end.
+    CatchUp {
+        agent: usize,
+        behind: Offset,
+    },
     HandOver(usize),
     Freeze(usize),
     Leave(usize),
     Thaw(usize),
+    /// An agent hands over, freezes and leaves without a fault in between.
     Drain(usize),
+    /// Another process removes an agent as lost, whether or not it still runs.
     Remove(usize),
+    /// A removed agent that still runs joins again.
     Rejoin(usize),
     Advance(Duration),
 }
 
+/// Returns a key whose bits are spread over the whole range.
 fn key(number: u128) -> ClaimKey {
     (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)
 }
 
 /// Returns a strategy of steps that advance the clocks by at most `max_advance_s` seconds.
 fn step(max_advance_s: u64) -> BoxedStrategy<Step> {
-    let agent = || 0..AGENTS;
+    let agent = || 0..AGENT_COUNT;
     let recent = || 0..12_usize;
     let lag = || prop_oneof![3 => Just(0), 1 => 0..6_usize];
     prop_oneof![
-        10 => (0..KEYS, lag(), 0..40_u64).prop_map(|(key, lag, skew)| {
+        10 => (0..KEY_COUNT, lag(), 0..40_u64).prop_map(|(key, lag, skew)| {
             Step::Arrive { key, lag, skew: Duration::from_secs(skew) }
         }),
         5 => (recent(), lag()).prop_map(|(attempt, lag)| Step::Repeat { attempt, lag }),
@@ -140,7 +162,7 @@
         }
         Step::Duplicate(number) => {
             let copy = message(world, number).map(|index| world.messages[index].clone());
-            // A second copy of a hand-over would be counted as one more unanswered message.
+            // A hand-over is counted as unanswered once, but both copies would be acknowledged.
             let copy = copy.filter(|m| !matches!(m, world::Message::HandOver { .. }));
             world.messages.extend(copy);
         }
@@ -172,7 +194,7 @@
 /// Panics if a key ran more than once, or if two attempts may still run. An attempt past its
 /// deadline can't run any more, so a key with one may have another holder.
 fn assert_at_most_one_run(world: &World) {
-    for key in (0..KEYS).map(key) {
+    for key in (0..KEY_COUNT).map(key) {
         let ran = world.ran.iter().filter(|ran| **ran == key).count();
         assert!(ran <= 1, "a key ran {ran} times");
         let holders = world.attempts.iter().filter(|a| a.key == key && a.stage == Stage::Held);
@@ -190,7 +212,7 @@
     type Reference = OpaqueKeySteps;
 
     fn init_test((): &()) -> World {
-        world::open(AGENTS, 2, false)
+        world::open(AGENT_COUNT, 2, false)
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
@@ -205,7 +227,7 @@
     type Reference = TimedKeySteps;
 
     fn init_test((): &()) -> World {
-        world::open(AGENTS, 2, true)
+        world::open(AGENT_COUNT, 2, true)
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
--- a/components/scheduler/tests/claims.rs
+++ b/components/scheduler/tests/claims.rs
@@ -31,6 +31,7 @@
     Clock { now: Instant::now(), wall: epoch_clock() }
 }
 
+/// Returns the readings of both clocks after a time.
 fn later(clock: Clock, by: Duration) -> Clock {
     Clock { now: clock.now + by, wall: clock.wall + by }
 }
@@ -39,10 +40,12 @@
     Uuid::from_u128(number)
 }
 
+/// Returns the ask of an attempt for [`KEY`], which carries no time.
 fn ask(number: u128, epoch: Offset) -> Ask {
     Ask { key: KEY, attempt: attempt(number), epoch, minted: None }
 }
 
+/// Returns the event of reading a whole log.
 fn records(payloads: &[String]) -> Event {
     let numbered = (1..).zip(payloads);
     let record = |(offset, payload): (Offset, &String)| Record { offset, payload: payload.clone() };
@@ -249,16 +252,16 @@
     let mut state = claim::open(Settings { incarnation: run(2), claims: 9 });
     let log = [join(0, 1, now.wall), join(1, 2, now.wall), removal(0, 1, now.wall)];
     claim::reduce(&mut state, now, records(&log));
-    let minted = |clock: Clock| Ask { minted: Some(clock.wall), ..ask(1, 3) };
+    let ask_of_new_key = |clock: Clock| Ask { minted: Some(clock.wall), ..ask(1, 3) };
     let early = later(now, KEY_AHEAD_LIMIT * 9);
     let late = later(now, STALE_EPOCH_LIMIT + KEY_AHEAD_LIMIT * 9);
 
     claim::reduce(&mut state, early, Event::CaughtUp);
-    let asked = claim::reduce(&mut state, early, Event::Claim(minted(early)));
+    let asked = claim::reduce(&mut state, early, Event::Claim(ask_of_new_key(early)));
     let answered = Event::Answered { key: KEY, incarnation: run(1), answer: None };
     let unsure = claim::reduce(&mut state, early, answered);
     claim::reduce(&mut state, late, Event::CaughtUp);
-    let granted = verdict(&mut state, late, minted(late));
+    let granted = verdict(&mut state, late, ask_of_new_key(late));
 
     assert!(matches!(asked.as_slice(), [Effect::Ask { .. }]), "{asked:?}");
     assert_eq!(unsure, [Effect::Reply { attempt: attempt(1), verdict: Verdict::Unsure }]);
@@ -284,14 +287,17 @@
     assert_eq!(second, Verdict::Held);
 }
 
-/// Step of a history without faults. `Run` and `Release` count attempts from the latest, which is
-/// 0.
+/// Step of a history without faults. The attempts of `Run` and `Release` count from the latest,
+/// which is 0.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A new attempt asks for the key of this number.
     Arrive(u128),
     Run(usize),
     Release(usize),
+    /// The agent of this number joins, unless it is a member.
     Join(usize),
+    /// The agent of this number hands its claims over and leaves.
     Drain(usize),
 }
 
--- a/components/scheduler/tests/membership.rs
+++ b/components/scheduler/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The fold over the membership stream, and the homes of keys.
+//! The fold over the membership stream, and the homes of keys that follow from it.
 
 mod support;
 
@@ -12,37 +12,42 @@
 };
 use support::{cases, epoch_clock, join, join_at_port, leave, run, target};
 
-const TARGETS: usize = 5;
-const KEYS: u128 = 40;
+const TARGET_COUNT: usize = 5;
+const KEY_COUNT: u128 = 40;
 
-/// One record of a generated history.
+/// Record of a generated history. `index` is the number of the target.
 #[derive(Clone, Debug)]
 enum Step {
     Join(usize),
     Leave { index: usize, handed_over: bool },
-    Garbage,
+    Unreadable,
 }
 
-/// A run that was a key's home in one epoch.
+/// Offsets between which one incarnation was a key's home, as far as the tests compare them.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Tenure {
+    /// Offset of the incarnation's join.
     joined: Offset,
+    /// Offset at which the incarnation ceased to be the home; `Offset::MAX` while it is.
     until: Offset,
 }
 
+/// Returns a key; the multiplication spreads consecutive numbers over the whole range.
 fn key(number: u128) -> ClaimKey {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..TARGETS).prop_map(Step::Join),
-        3 => (0..TARGETS, any::<bool>())
+        4 => (0..TARGET_COUNT).prop_map(Step::Join),
+        3 => (0..TARGET_COUNT, any::<bool>())
             .prop_map(|(index, handed_over)| Step::Leave { index, handed_over }),
-        1 => Just(Step::Garbage),
+        1 => Just(Step::Unreadable),
     ]
 }
 
+/// Returns the record of a step. A leave names the current incarnation of the target's agent, and
+/// incarnation 0 where there is none.
 fn payload(state: &State, offset: Offset, step: &Step) -> String {
     let now = epoch_clock() + Duration::from_secs(offset);
     match step {
@@ -52,12 +57,12 @@
             let number = member.map_or(0, |member| member.id.as_u128());
             leave(*index, number, handed_over.then_some(state.epoch()), now)
         }
-        Step::Garbage => "{}".to_owned(),
+        Step::Unreadable => "{}".to_owned(),
     }
 }
 
-/// The naive version: replays every epoch and keeps each one's home.
-fn replayed(epochs: &[State], key: ClaimKey) -> Vec<Tenure> {
+/// Naive implementation: determines the home in every epoch and collects their tenures.
+fn tenures_by_replay(epochs: &[State], key: ClaimKey) -> Vec<Tenure> {
     let mut tenures: Vec<Tenure> = Vec::new();
     for state in epochs {
         let Some(home) = state.home(key) else { continue };
@@ -86,8 +91,9 @@
 proptest! {
     #![proptest_config(cases(256))]
 
+    /// An earlier home that is left out isn't asked for its claims, and a key could run twice.
     #[test]
-    fn homes_are_those_of_every_epoch(steps in prop::collection::vec(step(), 1..30)) {
+    fn homes_of_a_key_are_the_homes_of_all_epochs(steps in prop::collection::vec(step(), 1..30)) {
         let mut state = State::default();
         let mut epochs = vec![state.clone()];
         for (offset, step) in (1..).zip(&steps) {
@@ -95,21 +101,22 @@
             epochs.push(state.clone());
         }
 
-        for key in (0..KEYS).map(key) {
-            let found = state.homes(key);
+        for key in (0..KEY_COUNT).map(key) {
+            let homes = state.homes(key);
 
-            let mut tenures: Vec<Tenure> = found
+            let mut tenures: Vec<Tenure> = homes
                 .iter()
                 .map(|home| Tenure { joined: home.incarnation.joined, until: home.until })
                 .collect();
             tenures.sort_unstable();
-            prop_assert_eq!(tenures, replayed(&epochs, key));
+            prop_assert_eq!(tenures, tenures_by_replay(&epochs, key));
         }
     }
 }
 
+/// The log may be read twice or with a gap; the epoch must count every record exactly once.
 #[test]
-fn the_fold_never_steps_back_or_skips() {
+fn records_out_of_order_are_rejected_and_leave_the_epoch() {
     let now = epoch_clock();
     let mut state = fold(&[join(0, 1, now)]);
 
@@ -121,8 +128,9 @@
     assert_eq!(state.epoch(), 1);
 }
 
+/// The successor has the same address, so the earlier incarnation has surely ended.
 #[test]
-fn a_join_gives_a_higher_fencing_number_than_the_run_before() {
+fn a_successor_has_a_higher_fencing_number_and_ends_the_earlier_incarnation() {
     let now = epoch_clock();
 
     let state = fold(&[join(0, 1, now), join(1, 2, now), join(0, 3, now)]);
@@ -134,8 +142,9 @@
     assert_eq!(former, [(3, End::Ended)]);
 }
 
+/// With another address, both processes of a target's agent can run at the same time.
 #[test]
-fn a_successor_at_another_address_proves_no_end() {
+fn an_incarnation_replaced_from_another_address_counts_as_lost() {
     let now = epoch_clock();
 
     let state = fold(&[join(0, 1, now), join_at_port(0, 2, now, 9)]);
@@ -143,8 +152,10 @@
     assert_eq!(state.former().next().unwrap().end, End::Lost);
 }
 
+/// An agent appends its join again after a lost answer. The second record must not raise the
+/// fencing number or end the incarnation.
 #[test]
-fn a_repeated_join_has_no_second_effect() {
+fn a_repeated_join_has_no_effect() {
     let now = epoch_clock();
 
     let state = fold(&[join(0, 1, now), join(0, 1, now)]);
@@ -153,8 +164,9 @@
     assert_eq!(state.former().count(), 0);
 }
 
+/// A member that joined after the hand-over may be the next home of keys whose claims it never got.
 #[test]
-fn a_hand_over_under_an_old_epoch_has_no_effect() {
+fn a_leave_whose_hand_over_is_of_an_old_epoch_has_no_effect() {
     let now = epoch_clock();
     let mut state = fold(&[join(0, 1, now), join(1, 2, now), join(2, 3, now)]);
 
@@ -164,8 +176,9 @@
     assert!(state.incarnation(&target(0)).is_some());
 }
 
+/// A delayed leave record of an earlier incarnation must not remove its successor.
 #[test]
-fn a_leave_of_an_earlier_run_has_no_effect() {
+fn a_leave_of_an_earlier_incarnation_has_no_effect() {
     let now = epoch_clock();
     let mut state = fold(&[join(0, 1, now), join(0, 2, now)]);
 
@@ -174,8 +187,9 @@
     assert_eq!(state.incarnation(&target(0)).unwrap().id, run(2));
 }
 
+/// Former homes must not accumulate, nor be asked for claims that have expired.
 #[test]
-fn a_former_home_is_forgotten_after_the_window() {
+fn a_former_home_is_removed_after_the_window() {
     let now = epoch_clock();
     let later = |by: Duration| -> SystemTime { now + by };
     let mut state = fold(&[join(0, 1, now), join(1, 2, now), leave(0, 1, None, now)]);
@@ -186,5 +200,5 @@
     state.prune(later(WINDOW * 2));
 
     assert_eq!((within, state.former().count()), (1, 0));
-    assert!((0..KEYS).all(|number| state.homes(key(number)).len() == 1));
+    assert!((0..KEY_COUNT).all(|number| state.homes(key(number)).len() == 1));
 }
--- a/components/scheduler/tests/placement.rs
+++ b/components/scheduler/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement against a naive version, and how evenly and steadily it spreads keys.
+//! Order of targets for a key: comparison with the order without cells, distribution of keys by
+//! speed, and stability when a target leaves.
 
 mod support;
 
@@ -34,15 +35,15 @@
     speeds.iter().enumerate().map(|(index, speed)| target(index, *speed)).collect()
 }
 
-fn first(index: &placement::Index, key: u64) -> String {
+fn first_target(index: &placement::Index, key: u64) -> String {
     index.order(key).next().expect("there is a target").clone()
 }
 
-/// Keys whose first target each target is.
-fn spread(index: &placement::Index, keys: u64) -> BTreeMap<String, u64> {
+/// Returns for each target the number of keys that have it as their first target.
+fn keys_by_first_target(index: &placement::Index, keys: u64) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for key in 0..keys {
-        *counts.entry(first(index, key)).or_default() += 1;
+        *counts.entry(first_target(index, key)).or_default() += 1;
     }
     counts
 }
@@ -50,8 +51,9 @@
 proptest! {
     #![proptest_config(cases(64))]
 
+    /// A pool of fewer targets than a cell has one cell, whose order must be that without cells.
     #[test]
-    fn a_small_pool_has_the_order_of_the_naive_version(
+    fn a_pool_of_one_cell_has_the_same_order_as_without_cells(
         speeds in prop::collection::vec(1_u32..1_000, 1..48),
         key in any::<u64>(),
     ) {
@@ -65,8 +67,9 @@
         prop_assert_eq!(order, naive);
     }
 
+    /// A target that is left out would never get requests of a key.
     #[test]
-    fn every_target_of_a_large_pool_comes_exactly_once(
+    fn the_order_of_a_large_pool_has_every_target_exactly_once(
         speeds in prop::collection::vec(1_u32..1_000, 100..600),
         key in any::<u64>(),
     ) {
@@ -80,35 +83,40 @@
         prop_assert_eq!(distinct.len(), targets.len());
     }
 
+    /// A key that moves to another target loses its cached prefix. Apart from the keys of the
+    /// leaving target, only a few keys of its cell may move, because the weight of that cell falls.
     #[test]
-    fn a_target_that_leaves_moves_few_keys_of_others(
+    fn a_target_that_leaves_moves_few_keys_of_other_targets(
         speeds in prop::collection::vec(100_u32..200, 200..400),
-        gone in any::<prop::sample::Index>(),
+        leaving in any::<prop::sample::Index>(),
     ) {
-        const KEYS: u64 = 500;
+        const KEY_COUNT: u64 = 500;
         let targets = targets(&speeds);
-        let gone = &targets[gone.index(targets.len())].name;
+        let leaving = &targets[leaving.index(targets.len())].name;
 
         let before = placement::open(targets.iter());
-        let after = placement::open(targets.iter().filter(|target| target.name != *gone));
+        let after = placement::open(targets.iter().filter(|target| target.name != *leaving));
 
-        let moved = (0..KEYS).filter(|key| {
-            let old = first(&before, *key);
-            old != *gone && old != first(&after, *key)
+        let moved = (0..KEY_COUNT).filter(|key| {
+            let old = first_target(&before, *key);
+            old != *leaving && old != first_target(&after, *key)
         });
         prop_assert!(moved.count() <= 15);
     }
 }
 
+/// Half of the targets have twice the speed of the others, so they must get two thirds of the keys.
 #[test]
-fn keys_are_spread_by_speed_over_a_large_pool() {
+fn a_large_pool_gets_keys_in_proportion_to_speed() {
     let speeds: Vec<u32> = (0..960).map(|index| if index % 2 == 0 { 100 } else { 200 }).collect();
     let index = placement::open(targets(&speeds).iter());
 
-    let counts = spread(&index, 60_000);
+    let counts = keys_by_first_target(&index, 60_000);
 
-    let fast = |name: &str| name.trim_start_matches("target-").parse::<usize>().unwrap() % 2 == 1;
-    let fast: u64 = counts.iter().filter(|(name, _)| fast(name)).map(|(_, count)| count).sum();
-    let share = fast as f64 / 60_000.0;
+    let is_fast =
+        |name: &str| name.trim_start_matches("target-").parse::<usize>().unwrap() % 2 == 1;
+    let keys_of_fast: u64 =
+        counts.iter().filter(|(name, _)| is_fast(name)).map(|(_, count)| count).sum();
+    let share = keys_of_fast as f64 / 60_000.0;
     assert!((share - 2.0 / 3.0).abs() < 0.02, "{share}");
 }
