--- a/components/scheduler/src/claim/handover.rs
+++ b/components/scheduler/src/claim/handover.rs
@@ -65,10 +65,11 @@
         }
     }
 
-    /// Returns the current epoch if all claims were sent under it and none can change any more.
+    /// Returns the current epoch if every stored claim was sent under it, with its latest mark, and
+    /// no more keys are granted.
     ///
     /// Returns `None` while a claim remains to be sent, while keys are still granted, after a
-    /// membership change, and where claims are stored but no other member can take them.
+    /// membership change, and where claims are stored but there is no other member to take them.
     pub fn handed_over(&self) -> Option<Offset> {
         let epoch = self.handover.sent_epoch.filter(|epoch| *epoch == self.members.epoch())?;
         let is_complete = self.handover.is_frozen && self.handover.changed_keys.is_empty();
--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -310,7 +310,8 @@
     }
 
     /// Returns the answer to a later home of a key, and fences the key where the question's epoch
-    /// is newer than this agent's.
+    /// is newer than this agent's. An attempt that the question reports as never run is recorded as
+    /// released first.
     fn answer_question(&mut self, question: Question) -> Answer {
         if !self.is_own(question.incarnation) {
             return Answer::Stranger;
@@ -416,8 +417,8 @@
 /// Returns whether an incarnation that is no longer a member surely never granted the key, or
 /// granted it so long ago that the claim has expired. Such an incarnation need not be asked.
 ///
-/// Both bounds rest on the clocks of the system's hosts, whose error is limited, and never on a
-/// caller's clock: a home rejects a key whose time is ahead of its own clock. A removed
+/// Both cases are decided by the clocks of the system's hosts, whose error is limited, and never by
+/// a caller's clock: a home rejects a key whose time is ahead of its own clock. A removed
 /// incarnation whose process may still run grants for at most [`STALE_EPOCH_LIMIT`] after its
 /// removal.
 fn cannot_have_claim(home: &Home<'_>, clock: Clock, ask: &Ask) -> bool {
--- a/components/scheduler/src/placement.rs
+++ b/components/scheduler/src/placement.rs
@@ -1,10 +1,10 @@
 //! Order in which the targets of a pool are tried for a request: weighted rendezvous hashing in two
 //! levels.
 //!
-//! A pool is split into cells of a few dozen targets. A key orders the cells, weighted by the sum
-//! of their targets' speeds, and then the targets of one cell, weighted by their own speeds. The
-//! work for a request is thus bounded by the number of cells plus the size of one cell, and the
-//! first few targets of a key usually lie in one cell.
+//! A pool is split into cells of a few dozen targets. For a key, the cells are ordered by their
+//! scores, weighted by the sum of their targets' speeds, and then the targets of a cell by theirs,
+//! weighted by their own speeds. The work for a request is thus bounded by the number of cells plus
+//! the size of one cell, and the first few targets of a key usually lie in one cell.
 
 use model::{id::TargetName, reservation::BlockHash, resource::Target};
 
@@ -20,8 +20,8 @@
     pub score: f64,
 }
 
-/// Returns all targets in descending order of their scores for a key, without cells. The same key
-/// always has the same targets first.
+/// Returns all targets in descending order of their scores for a key, without a split into cells.
+/// The same key always has the same targets first.
 pub fn order<'a>(key: BlockHash, targets: impl Iterator<Item = &'a Target>) -> Vec<Scored> {
     let scored = targets.map(|target| Scored {
         target: target.name.clone(),
