--- a/components/gateway/src/agents.rs
+++ b/components/gateway/src/agents.rs
@@ -13,7 +13,7 @@
     reservation::{Ask, Id, Load},
     suspect::Body,
 };
-use scheduler::direct::{Event, Lapse, Reservation, Ticket};
+use scheduler::direct::{DenialReason, Event, Reservation, Ticket};
 use tokio::task::AbortHandle;
 use uuid::Uuid;
 use wire::{
@@ -64,9 +64,9 @@
                     // An agent that is gone keeps no room; the request runs all the same.
                     let _ = client.hold(context(HOLD), id, reservation.address).await;
                 }
-                Err(lapse) => {
-                    metrics.reserved(name(lapse));
-                    report(Event::Denied { ticket, number, lapse });
+                Err(reason) => {
+                    metrics.reserved(name(reason));
+                    report(Event::Denied { ticket, number, reason });
                 }
             }
         });
@@ -90,38 +90,41 @@
     pool: &Pool<AdmissionClient>,
     reservation: &Reservation,
     request: RequestId,
-) -> Result<(AdmissionClient, Load), Lapse> {
-    let client = pool.client(reservation.agent).await.map_err(|_| Lapse::Away)?;
+) -> Result<(AdmissionClient, Load), DenialReason> {
+    let client =
+        pool.client(reservation.agent).await.map_err(|_| DenialReason::AgentUnreachable)?;
     let ask = Ask {
         id: Id { request, attempt: reservation.number },
         rank: reservation.rank,
         // The process that reserves decides when its request has waited for too long; agents only order a
         // tier by this, the latest deadline first.
-        remaining: reservation.wait + reservation.boost + GRACE,
+        remaining: reservation.timeout + reservation.recency_boost + GRACE,
         prefill: reservation.tokens.prompt,
-        decode: reservation.tokens.output,
+        decode: reservation.tokens.max_output,
         prefix: Vec::new(),
         offset: 0,
         body: Body::default(),
     };
-    let Reservation { address, slots, beside, limit, .. } = *reservation;
-    let target = admission::Target { address, slots, beside };
+    let Reservation { address, slots, is_local_agent, limit, .. } = *reservation;
+    let target = admission::Target { address, slots, beside: is_local_agent };
     let asked = Instant::now();
-    match client.reserve(context(reservation.wait + GRACE), ask, target, limit).await {
+    match client.reserve(context(reservation.timeout + GRACE), ask, target, limit).await {
         Ok(Ok(grant)) => Ok((client, grant.load)),
-        Ok(Err(denial)) if denial.reason == Reason::NoTarget => Err(Lapse::Unreached),
-        Ok(Err(denial)) if denial.reason == Reason::Draining => Err(Lapse::Away),
-        Ok(Err(_)) => Err(Lapse::Late),
-        Err(_) if asked.elapsed() >= reservation.wait => Err(Lapse::Late),
-        Err(_) => Err(Lapse::Away),
+        Ok(Err(denial)) if denial.reason == Reason::NoTarget => {
+            Err(DenialReason::TargetUnreachable)
+        }
+        Ok(Err(denial)) if denial.reason == Reason::Draining => Err(DenialReason::AgentUnreachable),
+        Ok(Err(_)) => Err(DenialReason::TimedOut),
+        Err(_) if asked.elapsed() >= reservation.timeout => Err(DenialReason::TimedOut),
+        Err(_) => Err(DenialReason::AgentUnreachable),
     }
 }
 
-/// Name of a lapse in logs and metrics.
-pub fn name(lapse: Lapse) -> &'static str {
-    match lapse {
-        Lapse::Away => "agent_away",
-        Lapse::Unreached => "target_unreached",
-        Lapse::Late => "late",
+/// Name of a denial's reason in logs and metrics.
+pub fn name(reason: DenialReason) -> &'static str {
+    match reason {
+        DenialReason::AgentUnreachable => "agent_away",
+        DenialReason::TargetUnreachable => "target_unreached",
+        DenialReason::TimedOut => "late",
     }
 }
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Full, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
 use model::id::{self, Fingerprint};
-use scheduler::direct::{self, Event, Outcome, Reason, Refusal, Start, Ticket};
+use scheduler::direct::{self, Dispatch, Event, Outcome, Refusal, RefusalReason, Ticket};
 use tokio::{
     select,
     sync::mpsc,
@@ -122,20 +122,20 @@
 }
 
 fn ask(call: &Call, ticket: Ticket, fingerprint: Fingerprint) -> direct::Request {
-    let draw = blake3::hash(call.ask.id.as_bytes());
+    let hash = blake3::hash(call.ask.id.as_bytes());
     let mut bytes = [0; 8];
-    bytes.copy_from_slice(&draw.as_bytes()[..8]);
+    bytes.copy_from_slice(&hash.as_bytes()[..8]);
     direct::Request {
         ticket,
         id: call.ask.id.clone(),
         host: call.ask.host.clone(),
         path: call.head.uri.path().to_owned(),
-        key: call.ask.key.clone(),
-        patience: call.ask.patience,
+        api_key: call.ask.key.clone(),
+        timeout: call.ask.patience,
         tokens: call.ask.tokens,
-        expected: call.ask.expected,
+        expected_tokens: call.ask.expected,
         fingerprint,
-        draw: u64::from_le_bytes(bytes),
+        spread: u64::from_le_bytes(bytes),
     }
 }
 
@@ -143,22 +143,22 @@
     /// Waits and dispatches until there is something to tell the caller.
     async fn head(&mut self) -> Result<Head, Refusal> {
         loop {
-            let start = match self.order().await {
-                Ok(start) => start,
+            let dispatch = match self.order().await {
+                Ok(dispatch) => dispatch,
                 Err(Some(refusal)) => return Err(refusal),
                 Err(None) => return self.failure.take().map(Head::Whole).ok_or(LOST),
             };
-            match self.send(&start).await {
-                Ok(Opened::Whole(unread)) => match self.read(&start, unread).await {
+            match self.send(&dispatch).await {
+                Ok(Opened::Whole(unread)) => match self.read(&dispatch, unread).await {
                     Ok(response) => {
                         self.began();
                         self.digest.update(response.body());
-                        self.report(Outcome::Done);
+                        self.report(Outcome::Completed);
                         return Ok(Head::Whole(response));
                     }
                     Err(outcome) => self.report(outcome),
                 },
-                Ok(Opened::Failure(unread)) => match self.read(&start, unread).await {
+                Ok(Opened::Failure(unread)) => match self.read(&dispatch, unread).await {
                     Ok(response) => {
                         self.failure = Some(response);
                         self.report(Outcome::Failed);
@@ -171,7 +171,7 @@
                         return Ok(Head::Stream(parts, piece, events));
                     }
                     Ok(None) => {
-                        self.report(Outcome::Done);
+                        self.report(Outcome::Completed);
                         return Ok(Head::Whole(Response::from_parts(*parts, Bytes::new())));
                     }
                     Err(outcome) => self.report(outcome),
@@ -184,20 +184,20 @@
     /// Waits for a new dispatch of a stream that broke off.
     async fn resume(&mut self) -> Result<Box<Events>, Broken> {
         loop {
-            let start = self.order().await.map_err(|_| Broken)?;
-            match self.send(&start).await {
+            let dispatch = self.order().await.map_err(|_| Broken)?;
+            match self.send(&dispatch).await {
                 Ok(Opened::Stream(_, events)) => return Ok(events),
-                Ok(_) => self.report(Outcome::Lost { crashed: false }),
+                Ok(_) => self.report(Outcome::Incomplete { crashed: false }),
                 Err(outcome) => self.report(outcome),
             }
         }
     }
 
     /// The next dispatch; else the refusal, or nothing where the last failure is to be passed on.
-    async fn order(&mut self) -> Result<Start, Option<Refusal>> {
+    async fn order(&mut self) -> Result<Dispatch, Option<Refusal>> {
         loop {
             match self.orders.recv().await {
-                Some(Order::Start(start)) => return Ok(start),
+                Some(Order::Start(dispatch)) => return Ok(dispatch),
                 // The target that it was to leave ended first.
                 Some(Order::Leave) => {}
                 Some(Order::Refuse(refusal)) => {
@@ -213,18 +213,22 @@
         }
     }
 
-    async fn send(&mut self, start: &Start) -> Result<Opened, Outcome> {
+    async fn send(&mut self, dispatch: &Dispatch) -> Result<Opened, Outcome> {
         let (context, call, last) =
             (Arc::clone(&self.context), Arc::clone(&self.call), self.last.clone());
         let Context { control, targets, dialect } = &*context;
         let ticket = self.ticket;
-        let limited = |per_second| control.send(Event::Limited { ticket, per_second });
-        let sent = dispatch::send(targets, dialect, &call, start, last.as_deref(), limited);
-        self.listen(start.silence, sent).await
+        let limited = |per_second| control.send(Event::RateLimitStated { ticket, per_second });
+        let sent = dispatch::send(targets, dialect, &call, dispatch, last.as_deref(), limited);
+        self.listen(dispatch.unresponsive_timeout, sent).await
     }
 
-    async fn read(&mut self, start: &Start, unread: Unread) -> Result<Response<Bytes>, Outcome> {
-        self.listen(start.silence, unread.read()).await
+    async fn read(
+        &mut self,
+        dispatch: &Dispatch,
+        unread: Unread,
+    ) -> Result<Response<Bytes>, Outcome> {
+        self.listen(dispatch.unresponsive_timeout, unread.read()).await
     }
 
     async fn next(&mut self, events: &mut Events) -> Result<Option<Piece>, Outcome> {
@@ -244,41 +248,43 @@
             select! {
                 biased;
                 // No other order comes before the dispatch has ended.
-                Some(Order::Leave) = self.orders.recv() => return Err(Outcome::Silent),
+                Some(Order::Leave) = self.orders.recv() => return Err(Outcome::Unresponsive),
                 heard = &mut heard => {
                     if quiet && heard.is_ok() {
-                        self.context.control.send(Event::Spoke { ticket });
+                        self.context.control.send(Event::TargetResumed { ticket });
                     }
                     return heard;
                 }
                 () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
                     quiet = true;
-                    self.context.control.send(Event::Quiet { ticket, begun });
+                    self.context.control.send(Event::TargetUnresponsive { ticket, begun });
                 }
             }
         }
     }
 
     fn began(&self) {
-        self.context.control.send(Event::Began { ticket: self.ticket });
+        self.context.control.send(Event::AnswerBegan { ticket: self.ticket });
     }
 
     fn report(&mut self, outcome: Outcome) {
-        self.ended = outcome == Outcome::Done;
+        self.ended = outcome == Outcome::Completed;
         if self.ended {
             let digest = evidence::record::answer_digest(&self.digest.finalize());
             self.context.control.answered(self.ticket, digest);
         }
         let (ticket, begun) = (self.ticket, self.begun);
         let events = std::mem::take(&mut self.events);
-        self.context.control.send(Event::Ended { ticket, outcome, begun, events });
+        self.context.control.send(Event::DispatchEnded { ticket, outcome, begun, events });
     }
 }
 
 impl Drop for Session {
     fn drop(&mut self) {
         if !self.ended {
-            self.context.control.send(Event::Left { ticket: self.ticket, events: self.events });
+            self.context
+                .control
+                .send(Event::CallerDisconnected { ticket: self.ticket, events: self.events });
         }
     }
 }
@@ -305,7 +311,7 @@
                     }
                 }
                 Ok(None) => {
-                    session.report(Outcome::Done);
+                    session.report(Outcome::Completed);
                     break;
                 }
                 Err(outcome) => {
@@ -329,7 +335,7 @@
 }
 
 const LOST: Refusal =
-    Refusal { reason: Reason::Lost, not_run: false, retry_after: None, lack: None };
+    Refusal { reason: RefusalReason::Lost, not_run: false, retry_after: None, shortage: None };
 
 fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -17,7 +17,7 @@
 use metrics::Gateway;
 use rustix::time::{ClockId, clock_gettime};
 use scheduler::direct::{
-    self, Effect, Event, Introduction, Now, Outcome, Refusal, Request, Start, State, Ticket,
+    self, Dispatch, Effect, Event, Now, Outcome, Refusal, Registration, Request, State, Ticket,
     peers::{self, Row},
     plan::Plan,
     relay::Topic,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub enum Order {
     /// Dispatch it.
-    Start(Start),
+    Start(Dispatch),
     /// Close its dispatch, so that another target gets it.
     Leave,
     /// End it with an answer of our own.
@@ -184,8 +184,8 @@
 
     /// Hears of entry processes that may be alive.
     pub fn introduce(&self, seeds: &[SocketAddr]) {
-        let seeds = seeds.iter().map(|&address| Introduction { address, stamp: 0 });
-        self.send(Event::Introduced(seeds.collect()));
+        let seeds = seeds.iter().map(|&address| Registration { address, stamp: 0 });
+        self.send(Event::PeersDiscovered(seeds.collect()));
     }
 
     /// A number for a new request.
@@ -274,7 +274,7 @@
                 if matches!(event, Event::Drain { .. }) {
                     self.recorder.draining();
                 }
-                if let Event::Left { ticket, events } = event {
+                if let Event::CallerDisconnected { ticket, events } = event {
                     self.left(ticket, events);
                     self.recorder.left(ticket);
                     self.forget(ticket);
@@ -285,7 +285,7 @@
                 self.orders.insert(request.ticket, orders);
                 self.ids.insert(request.ticket, request.id.clone());
                 self.recorder.arrived(request.ticket, &request.id);
-                self.reduce(Event::Arrived(request));
+                self.reduce(Event::RequestReceived(request));
             }
             Message::Answered(ticket, digest) => self.recorder.answered(ticket, digest),
             Message::Close(done) => {
@@ -294,9 +294,9 @@
             }
             Message::Exchange { told: Told { rows, all, offer }, reply } => {
                 let peer = rows.first().and_then(|row| row.address);
-                self.reduce(Event::Heard(rows));
+                self.reduce(Event::RowsReceived(rows));
                 if let Some(peer) = peer {
-                    self.reduce(Event::Offered { peer, offer });
+                    self.reduce(Event::PeerOffered { peer, offer });
                 }
                 let offer = self.state.offer(now());
                 let _ = reply.send(Answer { rows: self.rows(all), offer });
@@ -316,8 +316,8 @@
             }
             Message::Done(Done::Exchanged(peer, answer)) => {
                 if let Some(Answer { rows, offer }) = self.links.exchanged(peer, answer) {
-                    self.reduce(Event::Heard(rows));
-                    self.reduce(Event::Offered { peer, offer });
+                    self.reduce(Event::RowsReceived(rows));
+                    self.reduce(Event::PeerOffered { peer, offer });
                 }
             }
             Message::Done(Done::Fetched(peer, topic, fetched)) => {
@@ -331,11 +331,11 @@
     fn reduce(&mut self, event: Event) {
         let now = now();
         self.observe(now.steady, &event);
-        if let Event::Ended { ticket, outcome, .. } = event {
+        if let Event::DispatchEnded { ticket, outcome, .. } = event {
             self.recorder.ran(ticket, outcome);
         }
         let ended = match &event {
-            Event::Ended { ticket, outcome: Outcome::Done, .. } => Some(*ticket),
+            Event::DispatchEnded { ticket, outcome: Outcome::Completed, .. } => Some(*ticket),
             _ => None,
         };
         for effect in direct::reduce(&mut self.state, now, event) {
@@ -362,26 +362,26 @@
     /// Logs and counts what happened to a dispatch.
     fn observe(&self, now: Instant, event: &Event) {
         match event {
-            Event::Began { ticket } => {
+            Event::AnswerBegan { ticket } => {
                 if let Some(view) = self.state.view(*ticket, now) {
                     self.metrics.first(view.tier, view.running_for);
                 }
             }
-            Event::Quiet { ticket, begun } => {
+            Event::TargetUnresponsive { ticket, begun } => {
                 if let Some(view) = self.state.view(*ticket, now).filter(|view| !view.seeks) {
                     record::quiet(&view, *begun);
                 }
             }
-            Event::Spoke { ticket } => {
+            Event::TargetResumed { ticket } => {
                 if let Some(view) = self.state.view(*ticket, now).filter(|view| view.seeks) {
                     record::spoke(&view);
                 }
             }
-            Event::Ended { ticket, outcome, begun, events } => {
+            Event::DispatchEnded { ticket, outcome, begun, events } => {
                 if let Some(view) = self.state.view(*ticket, now) {
                     record::ended(&view, *outcome, *begun, *events);
                     self.metrics.ended(record::name(*outcome));
-                    if *outcome == Outcome::Done {
+                    if *outcome == Outcome::Completed {
                         self.metrics.whole(view.account, view.waited);
                         self.metrics.sized(view.tier, view.expected, true);
                     }
@@ -393,24 +393,24 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Start(start) => {
-                self.recorder.started(&start);
-                if let Some(orders) = self.orders.get(&start.ticket) {
-                    let _ = orders.send(Order::Start(start));
+            Effect::Dispatch(dispatch) => {
+                self.recorder.started(&dispatch);
+                if let Some(orders) = self.orders.get(&dispatch.ticket) {
+                    let _ = orders.send(Order::Start(dispatch));
                 }
             }
-            Effect::Leave { ticket, .. } => {
+            Effect::CancelDispatch { ticket, .. } => {
                 if let Some(orders) = self.orders.get(&ticket) {
                     let _ = orders.send(Order::Leave);
                 }
             }
-            Effect::Refuse { ticket, refusal, grounds } => {
+            Effect::Refuse { ticket, refusal, context } => {
                 let id = self.ids.get(&ticket).map(String::as_str).unwrap_or_default();
-                record::refused(id, &refusal, &grounds, self.state.open_requests());
+                record::refused(id, &refusal, &context, self.state.open_requests());
                 self.recorder.refused(ticket, &refusal);
                 self.end(ticket, Order::Refuse(refusal));
             }
-            Effect::Pass { ticket } => {
+            Effect::PassFailure { ticket } => {
                 self.recorder.passed(ticket);
                 self.end(ticket, Order::Pass);
             }
@@ -424,8 +424,8 @@
             }
             Effect::Fetch { peer, topic } => self.links.fetch(peer, topic),
             Effect::Reserve(reservation) => self.agents.reserve(reservation),
-            Effect::Withdraw { ticket, number } => self.agents.withdraw(ticket, number),
-            Effect::Note(_) => {}
+            Effect::WithdrawReservation { ticket, number } => self.agents.withdraw(ticket, number),
+            Effect::Log(_) => {}
         }
     }
 
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -13,7 +13,7 @@
     },
     rt::{TokioExecutor, TokioTimer},
 };
-use scheduler::direct::{Outcome, Start};
+use scheduler::direct::{Dispatch, Outcome};
 use tokio::time::{Instant, timeout_at};
 use tracing::warn;
 
@@ -91,16 +91,16 @@
     targets: &Targets,
     dialect: &Dialect,
     call: &Call,
-    start: &Start,
+    dispatch: &Dispatch,
     last_event: Option<&str>,
     limited: impl Fn(f64),
 ) -> Result<Opened, Outcome> {
-    let until = Instant::from_std(start.until) + WORD;
-    let remaining = start.until.saturating_duration_since(std::time::Instant::now());
+    let until = Instant::from_std(dispatch.deadline) + WORD;
+    let remaining = dispatch.deadline.saturating_duration_since(std::time::Instant::now());
     if remaining.is_zero() {
-        return Err(Outcome::Expired);
+        return Err(Outcome::DeadlineExceeded);
     }
-    let mut request = (dialect.forward)(call, start, remaining, last_event);
+    let mut request = (dialect.forward)(call, dispatch, remaining, last_event);
     let connection = capture_connection(&mut request);
     let watch = Watch { until };
     let answer = watch.wait(targets.request(request)).await?;
@@ -111,7 +111,7 @@
     if matches!(verdict, Verdict::Answer | Verdict::Failure | Verdict::NotRun) {
         match (dialect.limit)(&head) {
             Ok(per_second) => per_second.into_iter().for_each(limited),
-            Err(message) => warn!(to = start.target, message, "a rate limit can't be read"),
+            Err(message) => warn!(to = dispatch.target, message, "a rate limit can't be read"),
         }
     }
     (dialect.strip)(&mut head);
@@ -120,11 +120,11 @@
         Verdict::Replaced => Err(Outcome::Replaced),
         Verdict::Foreign => {
             poison(&connection);
-            Err(Outcome::Lost { crashed: false })
+            Err(Outcome::Incomplete { crashed: false })
         }
-        Verdict::Answer if start.stream => {
+        Verdict::Answer if dispatch.is_stream => {
             let body = Box::pin(body);
-            let (silence, splitter) = (start.silence, Splitter::default());
+            let (silence, splitter) = (dispatch.unresponsive_timeout, Splitter::default());
             let events = Events { silence, body, splitter, connection, watch, ended: false };
             Ok(Opened::Stream(Box::new(head), Box::new(events)))
         }
@@ -141,7 +141,7 @@
 
 impl Watch {
     async fn wait<T>(&self, answer: impl Future<Output = T>) -> Result<T, Outcome> {
-        timeout_at(self.until, answer).await.map_err(|_| Outcome::Expired)
+        timeout_at(self.until, answer).await.map_err(|_| Outcome::DeadlineExceeded)
     }
 }
 
@@ -151,7 +151,7 @@
         let Unread { head, body, watch } = self;
         match watch.wait(Limited::new(body, ANSWER_MAX).collect()).await? {
             Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
-            Err(_) => Err(Outcome::Lost { crashed: true }),
+            Err(_) => Err(Outcome::Incomplete { crashed: true }),
         }
     }
 }
@@ -169,12 +169,12 @@
                         self.splitter.push(bytes);
                     }
                 }
-                Some(Err(_)) => return Err(Outcome::Lost { crashed: true }),
+                Some(Err(_)) => return Err(Outcome::Incomplete { crashed: true }),
                 None if self.splitter.is_empty() => {
                     self.ended = true;
                     return Ok(None);
                 }
-                None => return Err(Outcome::Lost { crashed: true }),
+                None => return Err(Outcome::Incomplete { crashed: true }),
             }
         }
     }
@@ -191,9 +191,9 @@
 
 fn lost(error: &legacy::Error) -> Outcome {
     if error.is_connect() {
-        return Outcome::Unreached;
+        return Outcome::Unreachable;
     }
-    Outcome::Lost { crashed: true }
+    Outcome::Incomplete { crashed: true }
 }
 
 fn poison(connection: &CaptureConnection) {
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -25,7 +25,7 @@
 use http::{request, response};
 use http_body_util::{Full, combinators::UnsyncBoxBody};
 use metrics::Gateway;
-use scheduler::direct::{self, Refusal, Start, Tokens};
+use scheduler::direct::{self, Dispatch, Refusal, Tokens};
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tracing::info;
@@ -116,7 +116,7 @@
 }
 
 /// Makes the request to a target, with the time that remains and the event to go on after.
-pub type Forward = fn(&Call, &Start, Duration, Option<&str>) -> http::Request<Full<Bytes>>;
+pub type Forward = fn(&Call, &Dispatch, Duration, Option<&str>) -> http::Request<Full<Bytes>>;
 
 /// How requests and answers are spelled.
 #[derive(Clone, Copy, Debug)]
--- a/components/gateway/src/proof.rs
+++ b/components/gateway/src/proof.rs
@@ -56,15 +56,17 @@
     }
 
     /// It was dispatched.
-    pub fn started(&mut self, start: &direct::Start) {
-        let Some(open) = self.open.get_mut(&start.ticket) else {
+    pub fn started(&mut self, dispatch: &direct::Dispatch) {
+        let Some(open) = self.open.get_mut(&dispatch.ticket) else {
             return;
         };
         open.started = Some(SystemTime::now());
-        open.request.account = start.account.clone().unwrap_or_default();
-        open.request.rank = u8::try_from(start.tier).ok();
-        open.request.idempotent = start.repeatable;
-        open.request.starts.push(Start { attempt: start.attempt, target: start.target.clone() });
+        open.request.account = dispatch.account.clone().unwrap_or_default();
+        open.request.rank = u8::try_from(dispatch.tier).ok();
+        open.request.idempotent = dispatch.is_repeatable;
+        open.request
+            .starts
+            .push(Start { attempt: dispatch.attempt, target: dispatch.target.clone() });
     }
 
     /// What went to its caller has this digest.
@@ -80,14 +82,14 @@
             return;
         };
         let ran = match outcome {
-            direct::Outcome::Done | direct::Outcome::Failed => Ran::Yes,
+            direct::Outcome::Completed | direct::Outcome::Failed => Ran::Yes,
             outcome if outcome.may_have_run() => Ran::MayHaveRun,
             _ => Ran::NotRun,
         };
-        let digest = open.digest.filter(|_| outcome == direct::Outcome::Done);
+        let digest = open.digest.filter(|_| outcome == direct::Outcome::Completed);
         let run = open.run(ran, digest);
         self.buffer.push(SystemTime::now(), run);
-        if outcome == direct::Outcome::Done {
+        if outcome == direct::Outcome::Completed {
             let digest = open.digest.unwrap_or_default();
             self.end(ticket, Outcome::Whole { digest });
         }
@@ -144,17 +146,18 @@
     }
 }
 
-fn reason(reason: direct::Reason) -> Reason {
+fn reason(reason: direct::RefusalReason) -> Reason {
     match reason {
-        direct::Reason::NotReady => Reason::NotReady,
-        direct::Reason::NoRoute => Reason::BadInput,
-        direct::Reason::BadKey => Reason::Unauthorized,
-        direct::Reason::Limit => Reason::AccountLimit,
-        direct::Reason::NoRoom => Reason::Overloaded,
-        direct::Reason::Draining => Reason::Draining,
-        direct::Reason::Quarantined => Reason::Quarantined,
-        direct::Reason::Late | direct::Reason::Expired => Reason::Deadline,
-        direct::Reason::Lost => Reason::TargetLost,
-        direct::Reason::Unserved => Reason::NoTarget,
+        direct::RefusalReason::NotReady => Reason::NotReady,
+        direct::RefusalReason::NoRoute => Reason::BadInput,
+        direct::RefusalReason::BadKey => Reason::Unauthorized,
+        direct::RefusalReason::AccountLimit => Reason::AccountLimit,
+        direct::RefusalReason::NoFreeSlot => Reason::Overloaded,
+        direct::RefusalReason::Draining => Reason::Draining,
+        direct::RefusalReason::Quarantined => Reason::Quarantined,
+        direct::RefusalReason::DeadlineExceeded
+        | direct::RefusalReason::DeadlineExceededMayHaveRun => Reason::Deadline,
+        direct::RefusalReason::Lost => Reason::TargetLost,
+        direct::RefusalReason::AllDispatchesFailed => Reason::NoTarget,
     }
 }
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -7,7 +7,7 @@
 
 use metrics::Gateway;
 use scheduler::direct::{
-    Effect, Grounds, Note, Now, Outcome, Reason, Refusal, State, View,
+    Effect, LogEntry, Now, Outcome, Refusal, RefusalContext, RefusalReason, State, View,
     relay::Topic,
     rollout::{Action, Step},
 };
@@ -19,16 +19,16 @@
 pub fn decided(state: &State, at: Now, effect: &Effect) {
     let now = at.steady;
     match effect {
-        Effect::Start(start) => {
-            let Some(view) = state.view(start.ticket, now) else {
+        Effect::Dispatch(dispatch) => {
+            let Some(view) = state.view(dispatch.ticket, now) else {
                 return;
             };
             info!(
                 request = view.id,
                 route = view.route,
-                account = start.account,
-                to = start.target,
-                attempt = start.attempt,
+                account = dispatch.account,
+                to = dispatch.target,
+                attempt = dispatch.attempt,
                 waited_ms = view.waited.as_millis() as u64,
                 running = view.running,
                 elsewhere = view.elsewhere,
@@ -40,11 +40,11 @@
                 expected = view.expected,
                 token_us = view.pace.map(micros),
                 patience_ms = millis(view.patience),
-                left_ms = start.until.saturating_duration_since(now).as_millis() as u64,
+                left_ms = dispatch.deadline.saturating_duration_since(now).as_millis() as u64,
                 "dispatched"
             );
         }
-        Effect::Leave { ticket, target } => {
+        Effect::CancelDispatch { ticket, target } => {
             if let Some(view) = state.view(*ticket, now) {
                 let after_ms = millis(view.running_for);
                 info!(request = view.id, to = target, after_ms, "leaves its silent target");
@@ -52,52 +52,55 @@
         }
         Effect::Probe { target, .. } => info!(to = target, "asked whether it takes connections"),
         Effect::Fetch { .. }
-        | Effect::Pass { .. }
+        | Effect::PassFailure { .. }
         | Effect::Refuse { .. }
         | Effect::Reserve(_)
-        | Effect::Withdraw { .. } => {}
-        Effect::Note(Note::Fresh(false)) => outdated(state, at),
-        Effect::Note(note) => noted(note),
+        | Effect::WithdrawReservation { .. } => {}
+        Effect::Log(LogEntry::FreshnessChanged(false)) => outdated(state, at),
+        Effect::Log(note) => noted(note),
     }
 }
 
 /// Counts what the reducer decided.
 pub fn count(state: &State, now: Instant, metrics: &Gateway, effect: &Effect) {
     match effect {
-        Effect::Start(start) => {
-            if let Some(view) = state.view(start.ticket, now).filter(|view| view.attempt == 1) {
+        Effect::Dispatch(dispatch) => {
+            if let Some(view) = state.view(dispatch.ticket, now).filter(|view| view.attempt == 1) {
                 metrics.waited(view.tier, view.waited);
             }
         }
-        Effect::Refuse { refusal, grounds, .. } => {
+        Effect::Refuse { refusal, context, .. } => {
             metrics.refused(reason(refusal.reason));
-            if let Some(tier) = grounds.tier {
-                metrics.sized(tier, grounds.expected, false);
+            if let Some(tier) = context.tier {
+                metrics.sized(tier, context.expected_tokens, false);
             }
         }
-        Effect::Note(Note::Planned { version }) => {
+        Effect::Log(LogEntry::ConfigurationChanged { version }) => {
             metrics.version.set(i64::try_from(*version).unwrap_or(i64::MAX));
         }
-        Effect::Note(Note::Fresh(fresh)) => {
+        Effect::Log(LogEntry::FreshnessChanged(fresh)) => {
             metrics.fresh.set((*fresh).into());
         }
-        Effect::Note(Note::Peers { together, .. }) => {
-            metrics.together.set((*together).into());
+        Effect::Log(LogEntry::PeersChanged { usable, .. }) => {
+            metrics.together.set((*usable).into());
         }
-        Effect::Note(Note::Targets { ready, .. }) => {
+        Effect::Log(LogEntry::TargetsChanged { ready, .. }) => {
             metrics.targets.set(i64::try_from(*ready).unwrap_or(i64::MAX));
             limited(state, metrics);
         }
-        Effect::Note(Note::Limited { .. }) => limited(state, metrics),
-        Effect::Note(
-            Note::Crashed { .. } | Note::Quarantined(_) | Note::Restarted(_) | Note::Rollout(_),
+        Effect::Log(LogEntry::RateLimitChanged { .. }) => limited(state, metrics),
+        Effect::Log(
+            LogEntry::Crashed { .. }
+            | LogEntry::Quarantined(_)
+            | LogEntry::Restarted(_)
+            | LogEntry::Rollout(_),
         )
         | Effect::Fetch { .. }
-        | Effect::Leave { .. }
-        | Effect::Pass { .. }
+        | Effect::CancelDispatch { .. }
+        | Effect::PassFailure { .. }
         | Effect::Probe { .. }
         | Effect::Reserve(_)
-        | Effect::Withdraw { .. } => {}
+        | Effect::WithdrawReservation { .. } => {}
     }
 }
 
@@ -140,68 +143,68 @@
 /// Name of an outcome in logs and metrics.
 pub fn name(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Done => "done",
+        Outcome::Completed => "done",
         Outcome::Rejected => "rejected",
         Outcome::Replaced => "replaced",
-        Outcome::Unreached => "unreached",
+        Outcome::Unreachable => "unreached",
         Outcome::Failed => "failed",
-        Outcome::Lost { crashed: true } => "broken_off",
-        Outcome::Lost { crashed: false } => "no_proper_answer",
-        Outcome::Silent => "silent",
-        Outcome::Expired => "expired",
+        Outcome::Incomplete { crashed: true } => "broken_off",
+        Outcome::Incomplete { crashed: false } => "no_proper_answer",
+        Outcome::Unresponsive => "silent",
+        Outcome::DeadlineExceeded => "expired",
     }
 }
 
 /// Name of a reason in logs and metrics.
-pub fn reason(reason: Reason) -> &'static str {
+pub fn reason(reason: RefusalReason) -> &'static str {
     match reason {
-        Reason::NotReady => "not_ready",
-        Reason::NoRoute => "no_route",
-        Reason::BadKey => "unauthorized",
-        Reason::Limit => "account_limit",
-        Reason::NoRoom => "overloaded",
-        Reason::Draining => "draining",
-        Reason::Quarantined => "quarantined",
-        Reason::Late => "deadline",
-        Reason::Expired => "timeout",
-        Reason::Lost => "target_lost",
-        Reason::Unserved => "no_target",
+        RefusalReason::NotReady => "not_ready",
+        RefusalReason::NoRoute => "no_route",
+        RefusalReason::BadKey => "unauthorized",
+        RefusalReason::AccountLimit => "account_limit",
+        RefusalReason::NoFreeSlot => "overloaded",
+        RefusalReason::Draining => "draining",
+        RefusalReason::Quarantined => "quarantined",
+        RefusalReason::DeadlineExceeded => "deadline",
+        RefusalReason::DeadlineExceededMayHaveRun => "timeout",
+        RefusalReason::Lost => "target_lost",
+        RefusalReason::AllDispatchesFailed => "no_target",
     }
 }
 
 /// Logs a refusal with the id that the caller gave.
-pub fn refused(id: &str, refusal: &Refusal, grounds: &Grounds, open: usize) {
-    let (lack, fits) = (refusal.lack, grounds.fits);
+pub fn refused(id: &str, refusal: &Refusal, context: &RefusalContext, open: usize) {
+    let (shortage, fits) = (refusal.shortage, context.fits);
     info!(
         request = id,
         reason = reason(refusal.reason),
         not_run = refusal.not_run,
         retry_after_ms = refusal.retry_after.map(millis),
-        route = grounds.route,
-        account = grounds.account,
-        tier = grounds.tier,
-        expected = grounds.expected,
-        waited_ms = millis(grounds.waited),
-        wait_ms = millis(grounds.wait),
-        up = fits.up,
+        route = context.route,
+        account = context.account,
+        tier = context.tier,
+        expected = context.expected_tokens,
+        waited_ms = millis(context.waited),
+        wait_ms = millis(context.max_wait),
+        up = fits.available,
         fitting = fits.fitting,
         fast = fits.fast,
-        fastest_token_us = fits.fastest.map(micros),
-        left_ms = millis(grounds.left),
-        begun = grounds.begun,
-        ran = grounds.ran.0,
-        attempts = grounds.ran.1,
-        quarantined = grounds.quarantined,
+        fastest_token_us = fits.fastest_token_ms.map(micros),
+        left_ms = millis(context.time_left),
+        begun = context.has_begun,
+        ran = context.attempts.0,
+        attempts = context.attempts.1,
+        quarantined = context.is_quarantined,
         open,
-        ahead = grounds.ahead,
-        free = grounds.free,
-        slots = grounds.slots,
-        rows_age_ms = grounds.rows.map(millis),
-        units = lack.map(|lack| lack.units),
-        left = lack.map(|lack| lack.left),
-        rate = lack.map(|lack| lack.rate),
-        among = lack.map(|lack| lack.among),
-        together = lack.map(|lack| lack.together),
+        ahead = context.ahead,
+        free = context.free_slots,
+        slots = context.slots,
+        rows_age_ms = context.oldest_row.map(millis),
+        units = shortage.map(|shortage| shortage.needed),
+        left = shortage.map(|shortage| shortage.left),
+        rate = shortage.map(|shortage| shortage.rate),
+        among = shortage.map(|shortage| shortage.processes),
+        together = shortage.map(|shortage| shortage.usable),
         "refused"
     );
 }
@@ -287,30 +290,35 @@
     (millis * 1_000.0) as u64
 }
 
-fn noted(note: &Note) {
+fn noted(note: &LogEntry) {
     match note {
-        Note::Planned { version } => info!(version, "a configuration is in force"),
-        Note::Targets { ready, listed, kept, unordered } => {
+        LogEntry::ConfigurationChanged { version } => info!(version, "a configuration is in force"),
+        LogEntry::TargetsChanged { ready, listed, kept, unordered } => {
             info!(ready, listed, kept, unordered, "the targets changed");
         }
-        Note::Fresh(true) => info!("the configuration is current: keys count"),
+        LogEntry::FreshnessChanged(true) => info!("the configuration is current: keys count"),
         // Logged with the ages that tell why.
-        Note::Fresh(false) => {}
-        Note::Peers { heard, expected, together } => {
-            info!(heard, expected, together, "entry processes that are heard changed");
+        LogEntry::FreshnessChanged(false) => {}
+        LogEntry::PeersChanged { known, expected, usable } => {
+            info!(
+                heard = known,
+                expected,
+                together = usable,
+                "entry processes that are heard changed"
+            );
         }
-        Note::Restarted(target) => info!(to = target, "a target started again under its name"),
-        Note::Limited { target, per_second: Some(per_second) } => {
+        LogEntry::Restarted(target) => info!(to = target, "a target started again under its name"),
+        LogEntry::RateLimitChanged { target, per_second: Some(per_second) } => {
             info!(to = target, per_second, "a target names a rate limit");
         }
-        Note::Limited { target, per_second: None } => {
+        LogEntry::RateLimitChanged { target, per_second: None } => {
             info!(to = target, "a target names no rate limit any more");
         }
-        Note::Rollout(step) => stepped(step),
-        Note::Crashed { target, bodies } => {
-            info!(to = target, bodies, "a target died while it ran requests");
+        LogEntry::Rollout(step) => stepped(step),
+        LogEntry::Crashed { target, requests } => {
+            info!(to = target, bodies = requests, "a target died while it ran requests");
         }
-        Note::Quarantined(body) => {
+        LogEntry::Quarantined(body) => {
             let body = body.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
             warn!(body, "a body is refused: targets died while they ran it");
         }
--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -6,7 +6,7 @@
 
 use super::{
     PATIENCE, PROMOTE_PART, RETRY, State, WAIT_MIN, WAIT_PART, allowance,
-    event::{Effect, Grounds, Now, Reason, Refusal, Request},
+    event::{Effect, Now, Refusal, RefusalContext, RefusalReason, Request},
     pending::{Charge, Pending, Stage},
     plan::Plan,
     refuse,
@@ -16,41 +16,42 @@
     /// Handles a request that arrived whole: queues it, or refuses it with the reason.
     pub(super) fn arrive(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
         let ticket = request.ticket;
-        let mut grounds = Box::<Grounds>::default();
-        match self.admit(now, request, &mut grounds) {
+        let mut context = Box::<RefusalContext>::default();
+        match self.admit(now, request, &mut context) {
             Ok(pending) => {
                 self.requests.insert(ticket, pending);
                 self.enqueue(ticket);
                 self.refuse_hopeless(now.steady, ticket, effects);
             }
-            Err(refusal) => effects.push(Effect::Refuse { ticket, refusal, grounds }),
+            Err(refusal) => effects.push(Effect::Refuse { ticket, refusal, context }),
         }
     }
 
-    /// Returns the request's initial state, or why it is refused. Fills `grounds`, the log record of a
+    /// Returns the request's initial state, or why it is refused. Fills `context`, the log record of a
     /// refusal, with what is known of the request up to that point.
     fn admit(
         &mut self,
         now: Now,
         request: Request,
-        grounds: &mut Grounds,
+        context: &mut RefusalContext,
     ) -> Result<Pending, Refusal> {
-        let plan = self.plan.clone().ok_or(refuse(Reason::NotReady).after(RETRY))?;
+        let plan = self.plan.clone().ok_or(refuse(RefusalReason::NotReady).after(RETRY))?;
         // A stale configuration may lack a route that exists by now.
-        let no_route_reason = if self.fresh { Reason::NoRoute } else { Reason::NotReady };
+        let no_route_reason =
+            if self.fresh { RefusalReason::NoRoute } else { RefusalReason::NotReady };
         let route = plan.route(&request.host, &request.path).ok_or(refuse(no_route_reason))?;
-        grounds.route.clone_from(&route.name);
-        grounds.tier = Some(route.rank);
-        grounds.expected = request.expected;
-        let account = self.authenticate(&plan, route.public, request.key.as_deref())?;
-        grounds.account.clone_from(&account);
-        let patience = request.patience.unwrap_or(PATIENCE).min(route.timeout);
+        context.route.clone_from(&route.name);
+        context.tier = Some(route.rank);
+        context.expected_tokens = request.expected_tokens;
+        let account = self.authenticate(&plan, route.public, request.api_key.as_deref())?;
+        context.account.clone_from(&account);
+        let patience = request.timeout.unwrap_or(PATIENCE).min(route.timeout);
         if self.draining.is_some_and(|end| now.steady + patience > end) {
-            return Err(refuse(Reason::Draining).after(Duration::ZERO));
+            return Err(refuse(RefusalReason::Draining).after(Duration::ZERO));
         }
-        let pool = route.pool(request.draw).ok_or(refuse(Reason::NoRoute))?.clone();
+        let pool = route.pool(request.spread).ok_or(refuse(RefusalReason::NoRoute))?.clone();
         if self.is_quarantined(&request.fingerprint) {
-            return Err(refuse(Reason::Quarantined));
+            return Err(refuse(RefusalReason::Quarantined));
         }
         let account_settings = account.as_ref().and_then(|name| plan.accounts.get(name));
         let (mut units, mut stage) = (0.0, Stage::Waiting);
@@ -108,9 +109,9 @@
             return Ok(None);
         }
         if !self.fresh {
-            return Err(refuse(Reason::NotReady).after(RETRY));
+            return Err(refuse(RefusalReason::NotReady).after(RETRY));
         }
         let account = key.and_then(|key| plan.keys.get(key));
-        account.cloned().map(Some).ok_or(refuse(Reason::BadKey))
+        account.cloned().map(Some).ok_or(refuse(RefusalReason::BadKey))
     }
 }
--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -9,7 +9,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{event::Lack, plan::Limit};
+use super::{event::LimitShortage, plan::Limit};
 
 /// Token buckets of one account, as one process keeps them.
 #[derive(Clone, Debug)]
@@ -126,11 +126,11 @@
         limit: &Limit,
         share: LimitShare,
         claim: Claim,
-    ) -> Result<(), Lack> {
+    ) -> Result<(), LimitShortage> {
         self.refill(now, limit, share);
-        let lack = self.lack(now, limit, share, claim);
-        if lack.units > lack.left {
-            return Err(lack);
+        let shortage = self.shortage(now, limit, share, claim);
+        if shortage.needed > shortage.left {
+            return Err(shortage);
         }
         self.shared_units -= claim.units;
         self.own_units -= claim.units;
@@ -139,7 +139,13 @@
     }
 
     /// Returns the units that must be left for a request to be admitted, and those that are.
-    pub fn lack(&self, now: Instant, limit: &Limit, share: LimitShare, claim: Claim) -> Lack {
+    pub fn shortage(
+        &self,
+        now: Instant,
+        limit: &Limit,
+        share: LimitShare,
+        claim: Claim,
+    ) -> LimitShortage {
         let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
         let (processes, usable) = (share.processes, share.usable);
         let (left, fraction) = if usable > 1 || processes == 1 {
@@ -152,13 +158,7 @@
         let units = if claim.is_sized { claim.units.max(self.recent_largest) } else { claim.units };
         // A full bucket admits a request that is larger than the burst.
         let needed = (units + reserve).min(burst);
-        Lack {
-            units: needed,
-            left: left + elapsed * rate,
-            rate,
-            among: processes,
-            together: usable,
-        }
+        LimitShortage { needed, left: left + elapsed * rate, rate, processes, usable }
     }
 
     /// Returns the units of a request that did not run to the buckets.
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -132,7 +132,7 @@
 impl TargetState {
     fn new(target: Target) -> TargetState {
         TargetState {
-            agent: target.agent,
+            agent: target.agent_address,
             target,
             own: 0,
             others: 0,
@@ -186,7 +186,7 @@
     /// Reports whether the target accepts requests: it is listed, ready and not in backoff, and its
     /// version accepts requests.
     fn is_up(&self, now: Instant) -> bool {
-        let is_open = self.listed && self.target.ready && self.lane != Lane::Shut;
+        let is_open = self.listed && self.target.is_ready && self.lane != Lane::Shut;
         is_open && self.backoff_until.is_none_or(|until| until <= now)
     }
 
@@ -390,7 +390,7 @@
             let listed: Vec<_> = states.filter(|(_, state)| state.listed).collect();
             let targets: Vec<(&Version, bool)> = listed
                 .iter()
-                .map(|(_, state)| (&state.target.version, state.target.ready))
+                .map(|(_, state)| (&state.target.version, state.target.is_ready))
                 .collect();
             let assigned = lanes(pool, &targets);
             let indexes: Vec<usize> = listed.into_iter().map(|(index, _)| index).collect();
@@ -402,7 +402,7 @@
 
     /// Returns the number of ready targets whose version accepts no requests.
     pub fn shut(&self) -> usize {
-        let is_shut = |state: &&TargetState| state.target.ready && state.lane == Lane::Shut;
+        let is_shut = |state: &&TargetState| state.target.is_ready && state.lane == Lane::Shut;
         self.states.iter().filter(is_shut).count()
     }
 
@@ -481,7 +481,7 @@
     /// Sends no more requests to a target whose address belongs to another target now.
     pub fn mark_gone(&mut self, slot: &Slot) {
         if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
-            state.target.ready = false;
+            state.target.is_ready = false;
         }
     }
 
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -8,7 +8,7 @@
 
 use model::{id::ZoneName, reservation::Load};
 
-use crate::direct::{HASHER, event::Fits};
+use crate::direct::{HASHER, event::FittingTargets};
 
 use super::{Capacity, Demand, Reserved, Slot, Target, TargetState, compare_costs};
 
@@ -53,7 +53,7 @@
     /// Returns the number of requests that the target's agent admits at a time.
     pub fn admission_slots(&self) -> u32 {
         let slots = self.target.slots;
-        let is_assigned = self.agent != self.target.agent;
+        let is_assigned = self.agent != self.target.agent_address;
         let extra_slots =
             if is_assigned { f64::from(slots) * ASSIGNED_AGENT_EXTRA_SLOTS_RATIO } else { 0.0 };
         slots + extra_slots.ceil() as u32
@@ -62,7 +62,7 @@
     /// Returns a pseudo-random number between 0 and 1, both excluded, determined by the request and the
     /// target.
     fn hash_fraction(&self, demand: &Demand<'_>) -> f64 {
-        let hash = HASHER.hash_one((demand.draw, &self.target.name));
+        let hash = HASHER.hash_one((demand.spread, &self.target.name));
         ((hash >> 12) as f64 + 0.5) / (1_u64 << 52) as f64
     }
 
@@ -103,12 +103,12 @@
     /// used only if the part is less than one slot. A process that has discovered no other process may yet do
     /// so, and uses every target's own agent.
     pub(super) fn assign_agents(&mut self) {
-        let ready = self.states.iter().map(|state| &state.target).filter(|target| target.ready);
+        let ready = self.states.iter().map(|state| &state.target).filter(|target| target.is_ready);
         let agents: Vec<_> =
-            ready.filter_map(|target| Some((&target.zone, target.agent?))).collect();
+            ready.filter_map(|target| Some((&target.zone, target.agent_address?))).collect();
         let agent = |target: &Target| {
             let (slots, entries) = (target.slots as usize, self.other_processes + 1);
-            let own_agent = target.agent.filter(|_| entries == 1 || slots <= entries);
+            let own_agent = target.agent_address.filter(|_| entries == 1 || slots <= entries);
             own_agent
                 .or_else(|| (slots < entries).then(|| assigned_agent(target, &agents)).flatten())
         };
@@ -154,16 +154,16 @@
     }
 
     /// Counts the targets where a request's answer is expected to end in time.
-    pub fn fits(&self, now: Instant, demand: &Demand<'_>) -> Fits {
+    pub fn fits(&self, now: Instant, demand: &Demand<'_>) -> FittingTargets {
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = self.pool_targets(demand.pool);
         let candidates = candidates.filter(|state| state.lane == demand.lane && state.is_up(now));
-        let none = Fits {
-            fastest: Some(fastest).filter(|ms_per_token| ms_per_token.is_finite()),
-            ..Fits::default()
+        let none = FittingTargets {
+            fastest_token_ms: Some(fastest).filter(|ms_per_token| ms_per_token.is_finite()),
+            ..FittingTargets::default()
         };
-        candidates.fold(none, |fits, state| Fits {
-            up: fits.up + 1,
+        candidates.fold(none, |fits, state| FittingTargets {
+            available: fits.available + 1,
             fitting: fits.fitting + u32::from(state.finishes_in_time(demand, fastest)),
             fast: fits.fast + u32::from(state.is_fast(fastest)),
             ..fits
--- a/components/scheduler/src/direct/capacity/demand.rs
+++ b/components/scheduler/src/direct/capacity/demand.rs
@@ -41,7 +41,7 @@
     /// Availability zone of this process.
     pub zone: &'a ZoneName,
     /// Random number of the request, uniformly distributed over requests.
-    pub draw: u64,
+    pub spread: u64,
     /// Prompt tokens of the request; 0 if unknown.
     pub tokens: f64,
     /// Expected tokens of the answer; 0 if unknown.
--- a/components/scheduler/src/direct/era.rs
+++ b/components/scheduler/src/direct/era.rs
@@ -84,7 +84,7 @@
         for target in &mut listing.targets {
             let known = self.capacity.state(&target.name).map(|state| &state.target);
             let known = known.filter(|known| known.incarnation == target.incarnation);
-            target.ready &= known.is_none_or(|known| known.ready);
+            target.is_ready &= known.is_none_or(|known| known.is_ready);
         }
         listing
     }
--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -38,7 +38,7 @@
     /// Number of tokens in the prompt.
     pub prompt: u32,
     /// Maximum number of tokens in the answer.
-    pub output: u32,
+    pub max_output: u32,
 }
 
 /// A request of which headers and body were received completely.
@@ -53,50 +53,50 @@
     /// Path of the request's URL, without the query string.
     pub path: String,
     /// API key that the caller sent; `None` for a request without one.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Time for which the caller waits for the answer; `None` where the caller sent no deadline.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Token counts that the caller states; `None` where the request has none.
     pub tokens: Option<Tokens>,
     /// Number of tokens that the caller expects in the answer; a hint that may be far off.
-    pub expected: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// Fingerprint of path, caller and body; requests with equal fingerprints are counted as the same
     /// content when they crash targets.
     pub fingerprint: Fingerprint,
     /// Number derived from the request ID, distributed evenly over requests. It replaces a random number
     /// in all choices that split requests, such as the choice of a pool by weight.
-    pub draw: u64,
+    pub spread: u64,
 }
 
 /// Result of one dispatch of a request to a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The complete answer was passed to the caller.
-    Done,
+    Completed,
     /// The target rejected the request and states that it did not run it.
     Rejected,
     /// Another target now listens at the address; it rejected the request without running it.
     Replaced,
     /// No connection could be established, so the request wasn't sent.
-    Unreached,
+    Unreachable,
     /// The target returned a complete answer with an error status.
     Failed,
     /// The answer ended incomplete; the request may have run.
-    Lost {
+    Incomplete {
         /// Whether the connection was closed or reset, as happens when a target crashes.
         crashed: bool,
     },
     /// The target sent nothing for too long and the dispatch was cancelled in favour of another target;
-    /// the silent target may still run the request.
-    Silent,
+    /// the unresponsive target may still run the request.
+    Unresponsive,
     /// The request's deadline passed during the dispatch; the request may have run.
-    Expired,
+    DeadlineExceeded,
 }
 
 impl Outcome {
     /// Returns whether the target may have run the request.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Rejected | Outcome::Replaced | Outcome::Unreached)
+        !matches!(self, Outcome::Rejected | Outcome::Replaced | Outcome::Unreachable)
     }
 }
 
@@ -118,13 +118,13 @@
     pub address: SocketAddr,
     /// Address at which an agent on the target's host may listen; `None` where there is certainly none.
     #[serde(default)]
-    pub agent: Option<SocketAddr>,
+    pub agent_address: Option<SocketAddr>,
     /// Availability zone of the target.
     pub zone: ZoneName,
     /// Number of requests that the target runs concurrently.
     pub slots: u32,
     /// Whether the target accepts new requests.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Version of the target's software.
     #[serde(default)]
     pub version: Version,
@@ -132,7 +132,7 @@
 
 /// Address of an entry process, read from the platform's service or from the settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Introduction {
+pub struct Registration {
     /// Address at which the process listens for other entry processes.
     pub address: SocketAddr,
     /// Value that changes each time the process registers with the platform's service; 0 where no
@@ -142,20 +142,20 @@
 
 /// Reason why a reservation ended without a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Lapse {
+pub enum DenialReason {
     /// The agent is unreachable or is draining.
-    Away,
+    AgentUnreachable,
     /// The agent can't reach its target.
-    Unreached,
+    TargetUnreachable,
     /// The reservation timed out, or the agent denied it for another reason.
-    Late,
+    TimedOut,
 }
 
 /// An input of the reducer: something that happened outside it.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request was received completely.
-    Arrived(Request),
+    RequestReceived(Request),
     /// An agent granted a slot to a request and holds it until the reservation is withdrawn.
     Granted {
         /// Request for which the slot was reserved.
@@ -172,15 +172,15 @@
         /// Number of the reservation among those of the request.
         number: u32,
         /// Reason why no slot was granted.
-        lapse: Lapse,
+        reason: DenialReason,
     },
     /// The first event of a stream, or the head of another answer, was received.
-    Began {
+    AnswerBegan {
         /// Request whose answer began.
         ticket: Ticket,
     },
     /// An answer states its target's rate limit.
-    Limited {
+    RateLimitStated {
         /// Request whose answer states the limit.
         ticket: Ticket,
         /// Requests per second that the target accepts from all processes together; not negative.
@@ -188,19 +188,19 @@
     },
     /// The target of a dispatch has sent nothing for as long as the [`Start`] allows; the dispatch still
     /// waits for the answer.
-    Quiet {
-        /// Request whose target is silent.
+    TargetUnresponsive {
+        /// Request whose target is unresponsive.
         ticket: Ticket,
         /// Whether a part of the answer was passed to the caller.
         begun: bool,
     },
-    /// A target that was silent continues its answer.
-    Spoke {
+    /// A target that was unresponsive continues its answer.
+    TargetResumed {
         /// Request whose answer continues.
         ticket: Ticket,
     },
     /// A dispatch of a request ended.
-    Ended {
+    DispatchEnded {
         /// Request that was dispatched.
         ticket: Ticket,
         /// Result of the dispatch.
@@ -211,27 +211,27 @@
         events: u32,
     },
     /// The caller closed its connection before the request ended.
-    Left {
+    CallerDisconnected {
         /// Request of that caller.
         ticket: Ticket,
         /// Number of events of a stream that were received in the last dispatch.
         events: u32,
     },
     /// A configuration was read from the platform.
-    Planned(Arc<Plan>),
+    ConfigurationRead(Arc<Plan>),
     /// The operator ordered a rollout.
-    Ordered(Order),
+    RolloutOrdered(Order),
     /// The operator withdrew the rollout order for a pool.
-    Withdrawn {
+    RolloutWithdrawn {
         /// Pool whose order is withdrawn.
         pool: PoolName,
         /// Position of the withdrawal in the platform's stream of records.
         position: Position,
     },
     /// Reports on rollouts were read from the platform's service.
-    Reported(Vec<Report>),
+    RolloutsReported(Vec<Report>),
     /// The platform answered a read of the newest configuration.
-    Confirmed {
+    ConfigurationConfirmed {
         /// Time by the boot clock ([`Now::boot`]) at which the platform had no newer version.
         boot: Duration,
         /// Version of the platform's newest configuration; 0 where it has none.
@@ -240,11 +240,11 @@
         era: Era,
     },
     /// The platform's list of targets was read.
-    Listed(Listing),
+    TargetsListed(Listing),
     /// The platform answered a read of its list of targets, whether or not the list changed.
-    ListAnswered,
+    TargetListAnswered,
     /// Another entry process offered what it has.
-    Offered {
+    PeerOffered {
         /// Address at which the other process listens.
         peer: SocketAddr,
         /// Versions of what the other process has.
@@ -260,9 +260,9 @@
         news: Option<News>,
     },
     /// Addresses of entry processes became known, from the platform's service or from the settings.
-    Introduced(Vec<Introduction>),
+    PeersDiscovered(Vec<Registration>),
     /// Rows, each with the state of one entry process, were received from another entry process.
-    Heard(Vec<Row>),
+    RowsReceived(Vec<Row>),
     /// A probe whether a target accepts connections ended.
     Probed {
         /// Target that was probed.
@@ -281,7 +281,7 @@
 
 /// Reason why a request is refused instead of being answered by a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum RefusalReason {
     /// No configuration is known, or the known one may be out of date.
     NotReady,
     /// No route matches the request's host name and path.
@@ -289,54 +289,54 @@
     /// The API key is missing or unknown.
     BadKey,
     /// The account exceeds its limit.
-    Limit,
+    AccountLimit,
     /// No target had a free slot in time.
-    NoRoom,
+    NoFreeSlot,
     /// The process is draining.
     Draining,
     /// Requests with the same fingerprint crashed several targets.
     Quarantined,
     /// The deadline passed and the request has not run.
-    Late,
+    DeadlineExceeded,
     /// The deadline passed and the request may have run.
-    Expired,
+    DeadlineExceededMayHaveRun,
     /// The request may have run and can't be dispatched again.
     Lost,
     /// Every dispatch failed before the request ran.
-    Unserved,
+    AllDispatchesFailed,
 }
 
 /// Shortage of an account's limit that led to a refusal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lack {
+pub struct LimitShortage {
     /// Units that have to be in the bucket for the request to be admitted.
-    pub units: f64,
+    pub needed: f64,
     /// Units that were left in the bucket.
     pub left: f64,
     /// Units per second at which the bucket refills.
     pub rate: f64,
     /// Number of entry processes among which the limit is divided.
-    pub among: u32,
+    pub processes: u32,
     /// Number of those processes, this one included, whose parts of the limit this process may use.
-    pub together: u32,
+    pub usable: u32,
 }
 
 /// An error answer that this process sends in place of a target's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
     /// Reason for the refusal.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// Whether the request provably did not run and never will.
     pub not_run: bool,
     /// Time after which the caller may retry; `None` where no retry is suggested.
     pub retry_after: Option<Duration>,
-    /// Shortage of the account's limit; `None` unless `reason` is [`Reason::Limit`].
-    pub lack: Option<Lack>,
+    /// Shortage of the account's limit; `None` unless `reason` is [`RefusalReason::AccountLimit`].
+    pub shortage: Option<LimitShortage>,
 }
 
 /// Facts on which a refusal was based, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Grounds {
+pub struct RefusalContext {
     /// Name of the request's route; empty where no route was found.
     pub route: String,
     /// Account of the request; `None` for a public route or before the key was checked.
@@ -344,54 +344,58 @@
     /// Rank of the request's route, 0 being the highest; `None` where no route was found.
     pub tier: Option<u32>,
     /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
-    pub expected: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// Time since the request arrived.
     pub waited: Duration,
     /// Maximum time for which the request could wait for a slot, counted from its arrival.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Number of targets of the pool that accept requests, and of those where the answer ends in time.
-    pub fits: Fits,
+    pub fits: FittingTargets,
     /// Time that is left until the request's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether a part of the answer was passed to the caller.
-    pub begun: bool,
+    pub has_begun: bool,
     /// Number of targets that may have run the request, and the maximum that the route allows.
-    pub ran: (usize, u32),
+    pub attempts: (usize, u32),
     /// Whether requests with this fingerprint are quarantined.
-    pub quarantined: bool,
+    pub is_quarantined: bool,
     /// Number of requests ahead of this one in the queue of its pool.
     pub ahead: usize,
     /// Number of slots in the pool that no process uses, according to the last rows of the others.
-    pub free: u32,
+    pub free_slots: u32,
     /// Number of slots in the pool at targets that accept requests.
     pub slots: u32,
     /// Age of the oldest row that was considered; `None` where no other process's row is current.
-    pub rows: Option<Duration>,
+    pub oldest_row: Option<Duration>,
 }
 
 /// Number of targets at which an answer of a given length ends before its deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fits {
+pub struct FittingTargets {
     /// Number of targets of the pool that accept such requests.
-    pub up: u32,
+    pub available: u32,
     /// Number of those targets at which the answer ends in time, or that are among the fastest.
     pub fitting: u32,
     /// Number of those targets that are among the fastest, by the speeds that their agents report.
     pub fast: u32,
     /// Time per token in ms at a target that counts as the fastest; `None` where no speed is known.
-    pub fastest: Option<f64>,
+    pub fastest_token_ms: Option<f64>,
 }
 
-impl Fits {
+impl FittingTargets {
     /// Returns the share of the targets, from 0 to 1, at which the answer doesn't end in time.
-    pub fn closed(&self) -> f64 {
-        if self.up == 0 { 0.0 } else { 1.0 - f64::from(self.fitting) / f64::from(self.up) }
+    pub fn unfitting_share(&self) -> f64 {
+        if self.available == 0 {
+            0.0
+        } else {
+            1.0 - f64::from(self.fitting) / f64::from(self.available)
+        }
     }
 }
 
 /// Parameters of the dispatch of a request to a target.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct Dispatch {
     /// Request to dispatch.
     pub ticket: Ticket,
     /// Target to which the request is dispatched.
@@ -403,14 +407,14 @@
     /// Rank of the request's route; 0 is the highest.
     pub tier: u32,
     /// Whether the request may be dispatched again after it may have run.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// Deadline of the request.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Whether the answer is a stream of events.
-    pub stream: bool,
-    /// Time without data from the target after which [`Event::Quiet`] is sent; `None` where the request
-    /// may not be dispatched again.
-    pub silence: Option<Duration>,
+    pub is_stream: bool,
+    /// Time without data from the target after which [`Event::TargetUnresponsive`] is sent; `None` where the
+    /// request may not be dispatched again.
+    pub unresponsive_timeout: Option<Duration>,
     /// Number of this dispatch among those of the request, from 1.
     pub attempt: u32,
 }
@@ -432,16 +436,16 @@
     pub slots: u32,
     /// Whether the agent runs on the target's host and can query the target; otherwise it is the agent of
     /// another target, which all entry processes agreed on.
-    pub beside: bool,
+    pub is_local_agent: bool,
     /// Last known rate limit of the target; `None` where the target never stated one.
     pub limit: Option<Limit>,
     /// Priority among the reservations that wait at the agent; the lowest value goes first.
     pub rank: Rank,
     /// Maximum time for which the reservation waits.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// Time by which the request counts as newer than it is, for agents that serve the newest request of a
     /// tier first.
-    pub boost: Duration,
+    pub recency_boost: Duration,
     /// Token counts of the request; the answer's count is the caller's expectation where there is one.
     pub tokens: Tokens,
 }
@@ -453,16 +457,16 @@
     /// [`Event::Denied`].
     Reserve(Reservation),
     /// Withdraw a reservation, or release the slot that it was granted.
-    Withdraw {
+    WithdrawReservation {
         /// Request of the reservation.
         ticket: Ticket,
         /// Number of the reservation among those of the request.
         number: u32,
     },
     /// Dispatch a request to a target.
-    Start(Start),
-    /// Cancel the dispatch of a request to a silent target, since another target has a slot for it.
-    Leave {
+    Dispatch(Dispatch),
+    /// Cancel the dispatch of a request to an unresponsive target, since another target has a slot for it.
+    CancelDispatch {
         /// Request whose dispatch is cancelled.
         ticket: Ticket,
         /// Target that has a slot for the request.
@@ -475,7 +479,7 @@
         /// Error answer to send.
         refusal: Refusal,
         /// Facts on which the refusal was based, for the log.
-        grounds: Box<Grounds>,
+        context: Box<RefusalContext>,
     },
     /// Probe whether a target accepts connections. The result comes back as [`Event::Probed`].
     Probe {
@@ -492,24 +496,24 @@
         topic: Topic,
     },
     /// End a request by passing the error answer of a target on to the caller.
-    Pass {
+    PassFailure {
         /// Request that ends.
         ticket: Ticket,
     },
     /// Record a change of the reducer's state in the log.
-    Note(Note),
+    Log(LogEntry),
 }
 
 /// A change of the reducer's state that is worth a log entry.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEntry {
     /// Another configuration is in force.
-    Planned {
+    ConfigurationChanged {
         /// Version of the configuration.
         version: u64,
     },
     /// The set of targets in use was replaced by that of a newer list.
-    Targets {
+    TargetsChanged {
         /// Number of targets that accept requests.
         ready: usize,
         /// Number of targets in use, including those counted by `kept`.
@@ -520,20 +524,20 @@
         unordered: usize,
     },
     /// The configuration is known to be current (`true`), or may be out of date (`false`).
-    Fresh(bool),
+    FreshnessChanged(bool),
     /// The number of entry processes whose parts of limits this one may use changed.
-    Peers {
+    PeersChanged {
         /// Number of other processes that may take requests and whose rows are current.
-        heard: usize,
+        known: usize,
         /// Number of other processes that may take requests.
         expected: usize,
         /// Number of processes, this one included, whose parts of limits this process may use.
-        together: u32,
+        usable: u32,
     },
     /// A target restarted under its name; all state about its earlier incarnation was discarded.
     Restarted(TargetName),
     /// A target's rate limit changed.
-    Limited {
+    RateLimitChanged {
         /// Target whose limit changed.
         target: TargetName,
         /// New limit in requests per second; `None` where the target no longer states one.
@@ -544,7 +548,7 @@
         /// Target that crashed.
         target: TargetName,
         /// Number of requests that it ran.
-        bodies: u32,
+        requests: u32,
     },
     /// Requests with this fingerprint are refused from now on, since they crashed targets.
     Quarantined(Fingerprint),
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -15,7 +15,7 @@
 use super::{
     LIMIT_RETRY_MAX, LIMIT_WAIT_PART, State,
     allowance::{self, Claim, LimitShare},
-    event::{Effect, Lack, Reason, Refusal, Request, Ticket},
+    event::{Effect, LimitShortage, Refusal, RefusalReason, Request, Ticket},
     pending::{Pending, Stage},
     plan, refuse,
 };
@@ -24,7 +24,7 @@
     /// Returns the units that a request needs from its account's limit.
     pub(super) fn claim(limit: &plan::Limit, rank: u32, request: &Request) -> Claim {
         let tokens =
-            request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.output));
+            request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.max_output));
         let units = if limit.tokens { tokens.unwrap_or(limit.plain) } else { 1.0 };
         let is_sized = tokens.is_some();
         // Requests to plain services state no tokens and are too small to leave units for higher ranks.
@@ -52,8 +52,8 @@
                 }
                 match self.spend(now, &account, claim) {
                     Ok(()) => self.queue_for_target(order.ticket),
-                    Err(lack) => {
-                        let at = now + refill_time(&lack, lack.units);
+                    Err(shortage) => {
+                        let at = now + refill_time(&shortage, shortage.needed);
                         self.next_grant = Some(self.next_grant.map_or(at, |known| known.min(at)));
                         is_blocked |= claim.is_sized;
                         still_waiting.insert(order);
@@ -74,7 +74,7 @@
         ticket: Ticket,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((lack, wait)) = self.limit_wait(now, ticket) else {
+        let Some((shortage, wait)) = self.limit_wait(now, ticket) else {
             return;
         };
         let latest = |pending: &Pending| {
@@ -84,7 +84,7 @@
         let is_too_late =
             self.requests.get(&ticket).is_some_and(|pending| now + wait > latest(pending));
         if is_too_late {
-            self.refuse_limited(now, ticket, lack, wait, effects);
+            self.refuse_limited(now, ticket, shortage, wait, effects);
         }
     }
 
@@ -94,20 +94,25 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        lack: Lack,
+        shortage: LimitShortage,
         wait: Duration,
         effects: &mut Vec<Effect>,
     ) {
-        let grounds = Box::new(self.grounds(now, ticket));
+        let context = Box::new(self.refusal_context(now, ticket));
         self.remove(ticket, effects);
-        let refusal = Refusal { lack: Some(lack), ..refuse(Reason::Limit).after(wait) };
-        effects.push(Effect::Refuse { ticket, refusal, grounds });
+        let refusal =
+            Refusal { shortage: Some(shortage), ..refuse(RefusalReason::AccountLimit).after(wait) };
+        effects.push(Effect::Refuse { ticket, refusal, context });
     }
 
     /// Returns, for a request that waits for its account's limit, the units that it needs and those that
     /// are left, and the time until it gets them after the requests ahead of it. `None` for any other
     /// request.
-    pub(super) fn limit_wait(&self, now: Instant, ticket: Ticket) -> Option<(Lack, Duration)> {
+    pub(super) fn limit_wait(
+        &self,
+        now: Instant,
+        ticket: Ticket,
+    ) -> Option<(LimitShortage, Duration)> {
         let claim = self.limit_claim(ticket)?;
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
@@ -115,8 +120,8 @@
         let ahead = self.limited.get(account)?.range(..pending.order());
         let ahead = ahead.filter_map(|order| self.limit_claim(order.ticket));
         let ahead: f64 = ahead.filter(|_| claim.is_sized).map(|ahead| ahead.units).sum();
-        let lack = self.accounts.get(account)?.lack(now, &limit, share, claim);
-        Some((lack, refill_time(&lack, lack.units + ahead)))
+        let shortage = self.accounts.get(account)?.shortage(now, &limit, share, claim);
+        Some((shortage, refill_time(&shortage, shortage.needed + ahead)))
     }
 
     /// Returns an account's limit and the parts of it that this process may use; `None` where the account
@@ -134,7 +139,12 @@
 
     /// Takes a request's units of an account's limit, or returns the units that it needs and those that
     /// are left.
-    fn spend(&mut self, now: Instant, account: &AccountName, claim: Claim) -> Result<(), Lack> {
+    fn spend(
+        &mut self,
+        now: Instant,
+        account: &AccountName,
+        claim: Claim,
+    ) -> Result<(), LimitShortage> {
         // The configuration may have removed the limit since the request began to wait.
         let Some((limit, share)) = self.limit(account) else {
             return Ok(());
@@ -162,6 +172,6 @@
 }
 
 /// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX`] seconds.
-fn refill_time(lack: &Lack, units: f64) -> Duration {
-    Duration::from_secs_f64(((units - lack.left) / lack.rate).clamp(0.0, LIMIT_RETRY_MAX))
+fn refill_time(shortage: &LimitShortage, units: f64) -> Duration {
+    Duration::from_secs_f64(((units - shortage.left) / shortage.rate).clamp(0.0, LIMIT_RETRY_MAX))
 }
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -48,8 +48,9 @@
 use capacity::{Capacity, Place, TargetState};
 use crashes::Crashes;
 pub use event::{
-    Effect, Event, Fits, Grounds, Incarnation, Introduction, Lack, Lapse, Note, Now, Outcome,
-    Reason, Refusal, Request, Reservation, Start, Target, Ticket, Tokens,
+    DenialReason, Dispatch, Effect, Event, FittingTargets, Incarnation, LimitShortage, LogEntry,
+    Now, Outcome, Refusal, RefusalContext, RefusalReason, Registration, Request, Reservation,
+    Target, Ticket, Tokens,
 };
 use holds::Holds;
 use peers::{Limited, Peers, Row, Use};
@@ -92,10 +93,11 @@
 const RETRY_PART: f64 = 0.25;
 /// Minimum time without data from a target after which a request that may be repeated waits for a slot at
 /// another target.
-const SILENT: Duration = Duration::from_millis(500);
+const UNRESPONSIVE_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 /// Multiple of the expected time to the first event: after this time without data from a target, but no
-/// earlier than after [`SILENT`], a request that may be repeated waits for a slot at another target.
-const SILENT_TIMES: u32 = 4;
+/// earlier than after [`UNRESPONSIVE_TIMEOUT_MIN`], a request that may be repeated waits for a slot at
+/// another target.
+const UNRESPONSIVE_TIMEOUT_FACTOR: u32 = 4;
 /// Time for which a request that may have run waits for another target while no part of its answer was
 /// passed to its caller; after that the caller may retry itself.
 const REPEAT_WAIT: Duration = Duration::from_millis(1_500);
@@ -255,7 +257,7 @@
     pub patience: Duration,
     /// Number of the dispatch among those of the request, from 1.
     pub attempt: u32,
-    /// Whether the request waits for a slot at another target, since its own is silent.
+    /// Whether the request waits for a slot at another target, since its own is unresponsive.
     pub seeks: bool,
 }
 
@@ -322,55 +324,59 @@
     // After a suspension of the host the configuration may be out of date, so check that before the event.
     state.update_freshness(now, &mut effects);
     match event {
-        Event::Arrived(request) => state.arrive(now, request, &mut effects),
+        Event::RequestReceived(request) => state.arrive(now, request, &mut effects),
         Event::Granted { ticket, number, load } => {
             state.granted(now.steady, ticket, number, load, &mut effects);
         }
-        Event::Denied { ticket, number, lapse } => state.denied(now.steady, ticket, number, lapse),
-        Event::Began { ticket } => state.began(now.steady, ticket, &mut effects),
-        Event::Limited { ticket, per_second } => {
+        Event::Denied { ticket, number, reason } => {
+            state.denied(now.steady, ticket, number, reason)
+        }
+        Event::AnswerBegan { ticket } => state.began(now.steady, ticket, &mut effects),
+        Event::RateLimitStated { ticket, per_second } => {
             state.limited(now.steady, ticket, per_second, &mut effects);
         }
-        Event::Quiet { ticket, begun } => state.quiet(now.steady, ticket, begun),
-        Event::Spoke { ticket } => {
+        Event::TargetUnresponsive { ticket, begun } => state.quiet(now.steady, ticket, begun),
+        Event::TargetResumed { ticket } => {
             state.stay(ticket, &mut effects);
         }
-        Event::Ended { ticket, outcome, begun, events } => {
+        Event::DispatchEnded { ticket, outcome, begun, events } => {
             state.ended(now, ticket, outcome, (begun, events), &mut effects);
         }
-        Event::Left { ticket, .. } => {
+        Event::CallerDisconnected { ticket, .. } => {
             state.remove(ticket, &mut effects);
         }
-        Event::Planned(plan) => state.plan(plan, &mut effects),
-        Event::Ordered(order) => {
+        Event::ConfigurationRead(plan) => state.plan(plan, &mut effects),
+        Event::RolloutOrdered(order) => {
             let step = state.rollouts.order(now.steady, order, Duration::ZERO);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
-        Event::Withdrawn { pool, position } => {
+        Event::RolloutWithdrawn { pool, position } => {
             let step = state.rollouts.withdraw(now.steady, &pool, position);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
-        Event::Reported(reports) => {
+        Event::RolloutsReported(reports) => {
             for report in reports {
                 let step = state.rollouts.report(now.steady, &report);
                 state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
             }
         }
-        Event::Confirmed { boot, version, era } => state.confirm(now, boot, version, era),
-        Event::Listed(listing) => state.take_over(now.steady, listing, &mut effects),
-        Event::ListAnswered => state.record_list_answer(now),
-        Event::Offered { peer, offer } => state.offered(now, peer, offer),
+        Event::ConfigurationConfirmed { boot, version, era } => {
+            state.confirm(now, boot, version, era)
+        }
+        Event::TargetsListed(listing) => state.take_over(now.steady, listing, &mut effects),
+        Event::TargetListAnswered => state.record_list_answer(now),
+        Event::PeerOffered { peer, offer } => state.offered(now, peer, offer),
         Event::Fetched { peer, topic, news } => {
             state.fetched(now.steady, (peer, topic), news, &mut effects);
         }
-        Event::Introduced(processes) => {
+        Event::PeersDiscovered(processes) => {
             let own = state.settings.address;
             for process in processes.into_iter().filter(|process| process.address != own) {
                 state.peers.introduce(now.steady, process);
             }
             state.update_peers(now.steady, &mut effects);
         }
-        Event::Heard(rows) => state.receive_rows(now.steady, rows, &mut effects),
+        Event::RowsReceived(rows) => state.receive_rows(now.steady, rows, &mut effects),
         Event::Probed { target, reached } => {
             state.probed(now.steady, &target, reached, &mut effects);
         }
@@ -433,7 +439,7 @@
             plan: self.plan.as_ref().map_or(0, |plan| plan.version),
             list_age: self.list_age(now),
             units: pending.units,
-            expected: pending.request.expected,
+            expected: pending.request.expected_tokens,
             account: pending.account.as_deref(),
             tier: pending.tier,
             pace: state.and_then(|state| state.pace()),
@@ -446,29 +452,29 @@
     }
 
     /// Returns the facts on which a refusal of this request would be based, for the log.
-    fn grounds(&self, now: Instant, ticket: Ticket) -> Grounds {
+    fn refusal_context(&self, now: Instant, ticket: Ticket) -> RefusalContext {
         let Some(pending) = self.requests.get(&ticket) else {
-            return Grounds::default();
+            return RefusalContext::default();
         };
         let queue = self.waiting.get(&pending.pool);
         let (free, slots) = self.capacity.slots(now, &pending.pool);
         let demand = pending.demand(now, &pending.pool, &self.settings.zone, (&[], &[]));
-        Grounds {
+        RefusalContext {
             route: pending.route.clone(),
             account: pending.account.clone(),
             tier: Some(pending.tier),
-            expected: pending.request.expected,
+            expected_tokens: pending.request.expected_tokens,
             waited: now.saturating_duration_since(pending.arrived),
-            wait: pending.give_up.saturating_duration_since(pending.arrived),
+            max_wait: pending.give_up.saturating_duration_since(pending.arrived),
             fits: self.capacity.fits(now, &demand),
-            left: pending.until.saturating_duration_since(now),
-            begun: pending.begun,
-            ran: (pending.tried.len(), pending.attempts),
-            quarantined: self.is_quarantined(&pending.request.fingerprint),
+            time_left: pending.until.saturating_duration_since(now),
+            has_begun: pending.begun,
+            attempts: (pending.tried.len(), pending.attempts),
+            is_quarantined: self.is_quarantined(&pending.request.fingerprint),
             ahead: queue.map_or(0, |queue| queue.range(..pending.order()).count()),
-            free,
+            free_slots: free,
             slots,
-            rows: self.peers.oldest(now),
+            oldest_row: self.peers.oldest(now),
         }
     }
 
@@ -533,8 +539,8 @@
     Limited { target: name.clone(), incarnation: *incarnation, limit }
 }
 
-fn refuse(reason: Reason) -> Refusal {
-    Refusal { reason, not_run: true, retry_after: None, lack: None }
+fn refuse(reason: RefusalReason) -> Refusal {
+    Refusal { reason, not_run: true, retry_after: None, shortage: None }
 }
 
 impl Refusal {
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    event::{Incarnation, Introduction},
+    event::{Incarnation, Registration},
     relay::Position,
     rollout::Share,
 };
@@ -150,8 +150,8 @@
 impl Peers {
     /// Adds a process that the platform's service lists, or updates its stamp. A process whose stamp
     /// changes is alive and may take requests, even if none of its rows arrive here.
-    pub fn introduce(&mut self, now: Instant, introduction: Introduction) {
-        let Introduction { address, stamp } = introduction;
+    pub fn introduce(&mut self, now: Instant, introduction: Registration) {
+        let Registration { address, stamp } = introduction;
         let peer = self.peers.entry(address).or_insert_with(|| Peer {
             row: Row { address: Some(address), ..Row::default() },
             row_made: None,
@@ -171,7 +171,7 @@
         let Some(address) = row.address else {
             return Vec::new();
         };
-        self.introduce(now, Introduction { address, stamp: 0 });
+        self.introduce(now, Registration { address, stamp: 0 });
         let Some(peer) = self.peers.get_mut(&address) else {
             return Vec::new();
         };
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -235,9 +235,9 @@
         Demand {
             pool,
             zone,
-            draw: self.request.draw,
+            spread: self.request.spread,
             tokens: self.prompt_tokens(),
-            output: self.request.expected.map_or(0.0, f64::from),
+            output: self.request.expected_tokens.map_or(0.0, f64::from),
             left: self.until.saturating_duration_since(now),
             tried,
             rejected,
@@ -250,8 +250,8 @@
     /// stated one, else the maximum. Counts that the caller didn't state are 0.
     pub fn tokens(&self) -> Tokens {
         let tokens = self.request.tokens.unwrap_or_default();
-        let output = self.request.expected.unwrap_or(tokens.output);
-        Tokens { output, ..tokens }
+        let max_output = self.request.expected_tokens.unwrap_or(tokens.max_output);
+        Tokens { max_output, ..tokens }
     }
 
     /// Returns the number of prompt tokens; 0 where the caller didn't state it.
--- a/components/scheduler/src/direct/plan.rs
+++ b/components/scheduler/src/direct/plan.rs
@@ -121,11 +121,11 @@
 }
 
 impl Route {
-    /// Returns the pool of a request, chosen by weight. `draw` is distributed evenly over requests. `None`
+    /// Returns the pool of a request, chosen by weight. `spread` is distributed evenly over requests. `None`
     /// where the weights of all pools are 0.
-    pub fn pool(&self, draw: u64) -> Option<&PoolName> {
+    pub fn pool(&self, spread: u64) -> Option<&PoolName> {
         let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
-        let mut remainder = draw.checked_rem(total)?;
+        let mut remainder = spread.checked_rem(total)?;
         for part in &self.parts {
             match remainder.checked_sub(u64::from(part.weight)) {
                 Some(left) => remainder = left,
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 use super::{
-    SILENT, SILENT_TIMES, State, budget,
+    State, UNRESPONSIVE_TIMEOUT_FACTOR, UNRESPONSIVE_TIMEOUT_MIN, budget,
     capacity::{Demand, Slot},
-    event::{Effect, Now, Reason, Start, Ticket},
+    event::{Dispatch, Effect, Now, RefusalReason, Ticket},
     pending::{Charge, Held, Pending, Running, Stage},
     plan::Repeat,
     reserve,
@@ -85,13 +85,13 @@
             if self.stay(ticket, effects) {
                 continue;
             }
-            if let Some((lack, wait)) = self.limit_wait(now, ticket) {
-                self.refuse_limited(now, ticket, lack, wait, effects);
+            if let Some((shortage, wait)) = self.limit_wait(now, ticket) {
+                self.refuse_limited(now, ticket, shortage, wait, effects);
                 continue;
             }
             let reason = match self.requests.get(&ticket) {
-                Some(pending) if pending.until <= now => Reason::Late,
-                _ => Reason::NoRoom,
+                Some(pending) if pending.until <= now => RefusalReason::DeadlineExceeded,
+                _ => RefusalReason::NoFreeSlot,
             };
             self.refuse(now, ticket, reason, false, effects);
         }
@@ -130,11 +130,11 @@
                 let is_lowest = self.lowest.get(pool) == Some(&pending.tier)
                     && self.holds.is_longest(pool, pending.tier);
                 // Uniform from 0 up to but excluding 1.
-                let draw = (pending.request.draw >> 12) as f64 / (1_u64 << 52) as f64;
+                let spread = (pending.request.spread >> 12) as f64 / (1_u64 << 52) as f64;
                 let is_selected = *pending.chosen.get_or_insert_with(|| {
                     let max_share = self.settings.exposure;
                     let pool_route = (pool, pending.route.as_str());
-                    self.rollouts.choose(now.steady, pool_route, draw, max_share, hears_minority)
+                    self.rollouts.choose(now.steady, pool_route, spread, max_share, hears_minority)
                 });
                 let lane = self.rollouts.lane(now.steady, pool, is_selected);
                 let (tried, rejected) = (pending.tried.clone(), pending.rejected.clone());
@@ -151,7 +151,7 @@
                         pending.withdraw(effects);
                         let rollouts = &mut self.rollouts;
                         let effect = dispatch(now.steady, pending, slot, None, rollouts);
-                        if matches!(effect, Effect::Leave { .. }) {
+                        if matches!(effect, Effect::CancelDispatch { .. }) {
                             self.timers.insert((pending.until, order.ticket));
                         }
                         effects.push(effect);
@@ -193,9 +193,9 @@
         Stage::Seeking(running) => {
             let target = slot.target.clone();
             pending.stage = Stage::Moving(running, Held { slot, reservation });
-            Effect::Leave { ticket: pending.request.ticket, target }
+            Effect::CancelDispatch { ticket: pending.request.ticket, target }
         }
-        _ => Effect::Start(start_dispatch(now, pending, slot, reservation, rollouts)),
+        _ => Effect::Dispatch(start_dispatch(now, pending, slot, reservation, rollouts)),
     }
 }
 
@@ -206,26 +206,29 @@
     slot: Slot,
     reservation: Option<u32>,
     rollouts: &mut Rollouts,
-) -> Start {
+) -> Dispatch {
     pending.dispatches += 1;
     pending.charge = Charge::Free;
     // The selection for a rollout is used up: any retry goes to the established version.
     pending.deselect_from_rollout(rollouts);
     rollouts.dispatched(&pending.pool, &pending.route, slot.ordered);
-    let silence = SILENT.max(slot.first * SILENT_TIMES);
-    let start = Start {
+    let unresponsive_timeout =
+        UNRESPONSIVE_TIMEOUT_MIN.max(slot.first * UNRESPONSIVE_TIMEOUT_FACTOR);
+    let dispatch = Dispatch {
         ticket: pending.request.ticket,
         target: slot.target.clone(),
         address: slot.address,
-        silence: pending.may_repeat(pending.tried.len() + 1).then_some(silence),
+        unresponsive_timeout: pending
+            .may_repeat(pending.tried.len() + 1)
+            .then_some(unresponsive_timeout),
         account: pending.account.clone(),
         tier: pending.tier,
-        repeatable: pending.retry_policy != Repeat::Never,
-        until: pending.until,
-        stream: pending.is_stream,
+        is_repeatable: pending.retry_policy != Repeat::Never,
+        deadline: pending.until,
+        is_stream: pending.is_stream,
         attempt: pending.dispatches,
     };
     pending.stage =
         Stage::Running(Running { slot, since: now, first: None, limited: false, reservation });
-    start
+    dispatch
 }
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -7,7 +7,7 @@
 use super::{
     State,
     capacity::Slot,
-    event::{Effect, Note, Ticket},
+    event::{Effect, LogEntry, Ticket},
     peers::Limited,
 };
 
@@ -27,8 +27,10 @@
         let (name, incarnation) = (running.slot.target.clone(), running.slot.incarnation);
         let news = News { interval: Some(rate::interval(per_second)), at: now };
         if self.capacity.record_limit(now, &name, incarnation, news) {
-            effects
-                .push(Effect::Note(Note::Limited { target: name, per_second: Some(per_second) }));
+            effects.push(Effect::Log(LogEntry::RateLimitChanged {
+                target: name,
+                per_second: Some(per_second),
+            }));
         }
     }
 
@@ -45,7 +47,10 @@
             let news = News { interval: limit.interval, at };
             if self.capacity.record_limit(now, target, *incarnation, news) {
                 let per_second = limit.interval.map(rate::per_second);
-                effects.push(Effect::Note(Note::Limited { target: target.clone(), per_second }));
+                effects.push(Effect::Log(LogEntry::RateLimitChanged {
+                    target: target.clone(),
+                    per_second,
+                }));
             }
         }
     }
@@ -60,7 +65,7 @@
     ) {
         if self.capacity.clear_limit(now, slot, dispatched) {
             let target = slot.target.clone();
-            effects.push(Effect::Note(Note::Limited { target, per_second: None }));
+            effects.push(Effect::Log(LogEntry::RateLimitChanged { target, per_second: None }));
         }
     }
 }
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -12,7 +12,7 @@
 use super::{
     State,
     capacity::{Capacity, Demand, Slot},
-    event::{Effect, Lapse, Reservation, Ticket},
+    event::{DenialReason, Effect, Reservation, Ticket},
     pending::{Held, Order, Pending, Reserved, Running},
     queue,
 };
@@ -53,7 +53,7 @@
     pub(super) fn withdraw(&mut self, effects: &mut Vec<Effect>) {
         let ticket = self.request.ticket;
         let withdrawn = self.reserved.drain(..).map(|reserved| reserved.number);
-        effects.extend(withdrawn.map(|number| Effect::Withdraw { ticket, number }));
+        effects.extend(withdrawn.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
 
     /// Removes the reservation with this number and returns it; `None` if the request has no such
@@ -81,7 +81,9 @@
         .partition(|reserved| capacity.is_reservation_valid(now, reserved));
     pending.reserved = valid;
     effects.extend(
-        invalid.iter().map(|Reserved { number, .. }| Effect::Withdraw { ticket, number: *number }),
+        invalid
+            .iter()
+            .map(|Reserved { number, .. }| Effect::WithdrawReservation { ticket, number: *number }),
     );
     while pending.needs_another_reservation(now) {
         let count = u32::try_from(pending.reserved.len()).unwrap_or(u32::MAX);
@@ -94,7 +96,7 @@
         let (slots, limit) = (state.admission_slots(), state.limit_report(now));
         // Of the requests of a tier, those that fit the fewest targets go first: the others can be served by
         // other targets.
-        let closed_ratio = capacity.fits(now, demand).closed();
+        let closed_ratio = capacity.fits(now, demand).unfitting_share();
         let boost = (pending.promote - pending.arrived).mul_f64(MAX_BOOST_RATIO * closed_ratio);
         pending.reservations += 1;
         let number = pending.reservations;
@@ -108,11 +110,11 @@
             target: target.name,
             address: target.address,
             slots,
-            beside: target.agent == Some(agent),
+            is_local_agent: target.agent_address == Some(agent),
             limit,
             rank: pack_rank(&pending.order()),
-            wait: pending.give_up.saturating_duration_since(now),
-            boost,
+            timeout: pending.give_up.saturating_duration_since(now),
+            recency_boost: boost,
             tokens: pending.tokens(),
         }));
     }
@@ -131,14 +133,14 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(slot) = self.granted_slot(now, ticket, number, load) else {
-            return effects.push(Effect::Withdraw { ticket, number });
+            return effects.push(Effect::WithdrawReservation { ticket, number });
         };
         self.dequeue(ticket);
         if let Some(pending) = self.requests.get_mut(&ticket) {
             pending.withdraw(effects);
             let rollouts = &mut self.rollouts;
             let effect = queue::dispatch(now, pending, slot, Some(number), rollouts);
-            if matches!(effect, Effect::Leave { .. }) {
+            if matches!(effect, Effect::CancelDispatch { .. }) {
                 self.timers.insert((pending.until, ticket));
             }
             effects.push(effect);
@@ -166,15 +168,23 @@
     /// Handles a reservation that ended without a grant. If the agent can't reach its target, starts a
     /// backoff from the target; if only the agent is unreachable, from the agent, and the target is meanwhile
     /// shared by the rows that entry processes exchange.
-    pub(super) fn denied(&mut self, now: Instant, ticket: Ticket, number: u32, lapse: Lapse) {
+    pub(super) fn denied(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        number: u32,
+        reason: DenialReason,
+    ) {
         let pending = self.requests.get_mut(&ticket);
         let Some(reserved) = pending.and_then(|pending| pending.take_reservation(number)) else {
             return;
         };
-        match lapse {
-            Lapse::Away => self.capacity.mark_agent_unreachable(now, &reserved),
-            Lapse::Unreached => self.capacity.mark_unreachable_by_agent(now, &reserved),
-            Lapse::Late => {}
+        match reason {
+            DenialReason::AgentUnreachable => self.capacity.mark_agent_unreachable(now, &reserved),
+            DenialReason::TargetUnreachable => {
+                self.capacity.mark_unreachable_by_agent(now, &reserved)
+            }
+            DenialReason::TimedOut => {}
         }
     }
 
@@ -182,12 +192,13 @@
     pub(super) fn release(&mut self, ticket: Ticket, running: &Running, effects: &mut Vec<Effect>) {
         self.capacity.release(&running.slot);
         let number = running.reservation;
-        effects.extend(number.map(|number| Effect::Withdraw { ticket, number }));
+        effects.extend(number.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
 
     /// Releases a slot that a request held but didn't use, and withdraws its reservation, if any.
     pub(super) fn release_held(&mut self, ticket: Ticket, held: &Held, effects: &mut Vec<Effect>) {
         self.capacity.release(&held.slot);
-        effects.extend(held.reservation.map(|number| Effect::Withdraw { ticket, number }));
+        effects
+            .extend(held.reservation.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
 }
--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -352,14 +352,14 @@
     }
 
     /// Decides whether a request that enters the queue goes to the ordered version, and counts it as
-    /// pending there if so. `draw` is spread evenly from 0 to 1; `canary_limit` is the share of requests
+    /// pending there if so. `spread` is spread evenly from 0 to 1; `canary_limit` is the share of requests
     /// that a version may get before it is judged good. A process is isolated if the rows of most peers
     /// are stale: since those may have got bad answers, it chooses no request.
     pub fn choose(
         &mut self,
         now: Instant,
         (pool, route): (&PoolName, &str),
-        draw: f64,
+        spread: f64,
         canary_limit: f64,
         is_isolated: bool,
     ) -> bool {
@@ -373,7 +373,7 @@
         let share = rollout.ordered_share(now, canary_limit);
         let count = rollout.route_counts.entry(route.to_owned()).or_default();
         let is_chosen = if rollout.shift_started.is_some() {
-            draw < share
+            spread < share
         } else {
             (count.to_ordered + count.pending + 1) as f64 <= share * (count.dispatched + 1) as f64
         };
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -8,7 +8,7 @@
     CRASH_WINDOW, CRASHES, Loss, REPEAT_WAIT, RETRY_MAX, RETRY_PART, State,
     budget::{self, Budget},
     capacity::Slot,
-    event::{Effect, Note, Now, Outcome, Reason, Refusal, Ticket},
+    event::{Effect, LogEntry, Now, Outcome, Refusal, RefusalReason, Ticket},
     pending::{Charge, Held, Pending, Running, Stage},
     queue,
 };
@@ -76,21 +76,27 @@
         pending.may_have_run |= outcome.may_have_run();
         pending.has_failed_answer |= outcome == Outcome::Failed;
         let (pool, tier) = (pending.pool.clone(), pending.tier);
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Completed {
             let hold_time = now.steady.saturating_duration_since(running.since);
             self.holds.learn(&pool, tier, hold_time);
         }
         self.learn_version(now.steady, ticket, &running, (outcome, events));
         self.release(ticket, &running, effects);
         self.record_outcome(now.steady, ticket, &running.slot, outcome, effects);
-        if matches!(outcome, Outcome::Done | Outcome::Expired) {
+        if matches!(outcome, Outcome::Completed | Outcome::DeadlineExceeded) {
             if let Search::Found(held) = &search {
                 self.release_held(ticket, held, effects);
             }
-            if outcome == Outcome::Done {
+            if outcome == Outcome::Completed {
                 self.remove(ticket, effects);
             } else {
-                self.refuse(now.steady, ticket, Reason::Expired, true, effects);
+                self.refuse(
+                    now.steady,
+                    ticket,
+                    RefusalReason::DeadlineExceededMayHaveRun,
+                    true,
+                    effects,
+                );
             }
             return;
         }
@@ -101,9 +107,9 @@
             Outcome::Rejected | Outcome::Replaced => {
                 self.requeue_unexecuted(now, ticket, true, effects);
             }
-            Outcome::Unreached => self.requeue_unexecuted(now, ticket, false, effects),
+            Outcome::Unreachable => self.requeue_unexecuted(now, ticket, false, effects),
             _ => {
-                if outcome == Outcome::Silent {
+                if outcome == Outcome::Unresponsive {
                     self.capacity.mark_down(now.steady, &target, running.slot.incarnation);
                 }
                 self.retry_executed(now, ticket, target, effects);
@@ -122,9 +128,12 @@
     ) {
         let is_failure = matches!(
             outcome,
-            Outcome::Failed | Outcome::Lost { .. } | Outcome::Rejected | Outcome::Silent
+            Outcome::Failed
+                | Outcome::Incomplete { .. }
+                | Outcome::Rejected
+                | Outcome::Unresponsive
         );
-        if is_failure || outcome == Outcome::Done {
+        if is_failure || outcome == Outcome::Completed {
             self.capacity.judge(slot, is_failure);
         }
         let Some(pending) = self.requests.get_mut(&ticket) else {
@@ -136,11 +145,11 @@
                 self.capacity.mark_full(now, slot);
             }
             Outcome::Replaced => self.capacity.mark_gone(slot),
-            Outcome::Unreached => {
+            Outcome::Unreachable => {
                 self.capacity.mark_down(now, &slot.target, slot.incarnation);
                 self.count_crashes(now, &slot.target, false, effects);
             }
-            Outcome::Lost { crashed: true } => {
+            Outcome::Incomplete { crashed: true } => {
                 let body = pending.request.fingerprint;
                 let target = slot.target.clone();
                 let loss = Loss { at: now, target, body, reached: false };
@@ -148,11 +157,11 @@
                 self.lost.push(loss);
                 self.probe(&slot.target, effects);
             }
-            Outcome::Done
+            Outcome::Completed
             | Outcome::Failed
-            | Outcome::Lost { crashed: false }
-            | Outcome::Silent
-            | Outcome::Expired => {}
+            | Outcome::Incomplete { crashed: false }
+            | Outcome::Unresponsive
+            | Outcome::DeadlineExceeded => {}
         }
     }
 
@@ -190,14 +199,15 @@
             Search::NotStarted | Search::Waiting => None,
         };
         if !allowed {
-            let reason = if may_have_run { Reason::Lost } else { Reason::Unserved };
+            let reason =
+                if may_have_run { RefusalReason::Lost } else { RefusalReason::AllDispatchesFailed };
             return self.refuse(now, ticket, reason, may_have_run, effects);
         }
         match (held, self.requests.get_mut(&ticket)) {
             (Some(Held { slot, reservation }), Some(pending)) => {
-                let start =
+                let dispatch =
                     queue::start_dispatch(now, pending, slot, reservation, &mut self.rollouts);
-                effects.push(Effect::Start(start));
+                effects.push(Effect::Dispatch(dispatch));
             }
             _ => self.enqueue(ticket),
         }
@@ -220,7 +230,13 @@
         if was_delivered && pending.begun {
             pending.charge = Charge::Due;
         } else if was_delivered && !self.take_retry(now.steady, &pool) {
-            return self.refuse(now.steady, ticket, Reason::Unserved, false, effects);
+            return self.refuse(
+                now.steady,
+                ticket,
+                RefusalReason::AllDispatchesFailed,
+                false,
+                effects,
+            );
         }
         self.enqueue(ticket);
     }
@@ -251,7 +267,7 @@
             }
             return self.enqueue(ticket);
         }
-        self.refuse(now.steady, ticket, Reason::Lost, true, effects);
+        self.refuse(now.steady, ticket, RefusalReason::Lost, true, effects);
     }
 
     /// Counts an admitted request, which adds a fraction of a retry to the budget of its pool.
@@ -319,13 +335,13 @@
         self.lost = rest;
         let crashes: Vec<Loss> = crashes;
         if !crashes.is_empty() {
-            let (target, bodies) = (target.to_owned(), crashes.len() as u32);
-            effects.push(Effect::Note(Note::Crashed { target, bodies }));
+            let (target, requests) = (target.to_owned(), crashes.len() as u32);
+            effects.push(Effect::Log(LogEntry::Crashed { target, requests }));
         }
         for loss in crashes {
             let own_process = (self.settings.address, self.settings.incarnation);
             if self.crashes.add(now, loss.body, own_process) == CRASHES {
-                effects.push(Effect::Note(Note::Quarantined(loss.body)));
+                effects.push(Effect::Log(LogEntry::Quarantined(loss.body)));
             }
         }
     }
@@ -342,26 +358,31 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        reason: Reason,
+        reason: RefusalReason,
         ran: bool,
         effects: &mut Vec<Effect>,
     ) {
-        let grounds = Box::new(self.grounds(now, ticket));
+        let context = Box::new(self.refusal_context(now, ticket));
         let Some(pending) = self.remove(ticket, effects) else {
             return;
         };
         if pending.has_failed_answer && !pending.begun {
-            return effects.push(Effect::Pass { ticket });
+            return effects.push(Effect::PassFailure { ticket });
         }
         let not_run = !ran && !pending.may_have_run;
         let reason = match (reason, not_run) {
-            (Reason::Late | Reason::NoRoom | Reason::Unserved, false) => Reason::Lost,
+            (
+                RefusalReason::DeadlineExceeded
+                | RefusalReason::NoFreeSlot
+                | RefusalReason::AllDispatchesFailed,
+                false,
+            ) => RefusalReason::Lost,
             _ => reason,
         };
         let left = pending.until.saturating_duration_since(now);
         let retry_after = not_run.then_some(left.mul_f64(RETRY_PART).min(RETRY_MAX));
-        let refusal = Refusal { reason, not_run, retry_after, lack: None };
-        effects.push(Effect::Refuse { ticket, refusal, grounds });
+        let refusal = Refusal { reason, not_run, retry_after, shortage: None };
+        effects.push(Effect::Refuse { ticket, refusal, context });
     }
 
     /// Ends a request and frees all that it holds: queue entry, reservations, slots, an unused retry and,
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -5,13 +5,13 @@
 use super::{
     State,
     capacity::Capacity,
-    event::{Effect, Note, Outcome, Target, Ticket},
+    event::{Effect, LogEntry, Outcome, Target, Ticket},
     pending::Running,
     rollout::{Answer, Order, Others, Report, Share, Step},
 };
 
 fn rollout_note(step: Step) -> Effect {
-    Effect::Note(Note::Rollout(Box::new(step)))
+    Effect::Log(LogEntry::Rollout(Box::new(step)))
 }
 
 /// Returns whether this process has no requests in flight at targets of other versions than the ordered one.
@@ -104,16 +104,17 @@
             return;
         };
         let answer = match outcome {
-            Outcome::Done => {
+            Outcome::Completed => {
                 let duration = now.saturating_duration_since(running.since);
                 let first = running.first.unwrap_or(duration);
                 let rest = (duration.saturating_sub(first), events.saturating_sub(1));
                 Answer::Whole { first: running.slot.each_token(first), rest }
             }
-            Outcome::Failed | Outcome::Lost { .. } | Outcome::Silent | Outcome::Expired => {
-                Answer::Failed
-            }
-            Outcome::Rejected | Outcome::Replaced | Outcome::Unreached => return,
+            Outcome::Failed
+            | Outcome::Incomplete { .. }
+            | Outcome::Unresponsive
+            | Outcome::DeadlineExceeded => Answer::Failed,
+            Outcome::Rejected | Outcome::Replaced | Outcome::Unreachable => return,
         };
         self.rollouts.answered(&pending.pool, &pending.route, running.slot.ordered, answer);
     }
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -11,7 +11,7 @@
 use super::{
     RETURN, SILENCE, State, allowance,
     capacity::Place,
-    event::{Effect, Note, Now},
+    event::{Effect, LogEntry, Now},
     peers::{Row, Told},
     plan::Plan,
     relay::Era,
@@ -29,7 +29,7 @@
         if self.plan.as_ref().is_some_and(|known| known.version >= plan.version) {
             return;
         }
-        effects.push(Effect::Note(Note::Planned { version: plan.version }));
+        effects.push(Effect::Log(LogEntry::ConfigurationChanged { version: plan.version }));
         let routes = plan.routes.values().flatten();
         let pools: BTreeSet<&PoolName> =
             routes.flat_map(|route| &route.parts).map(|part| &part.pool).collect();
@@ -72,7 +72,7 @@
         let fresh = age.is_some_and(|age| age < self.settings.freshness);
         if fresh != self.fresh {
             self.fresh = fresh;
-            effects.push(Effect::Note(Note::Fresh(fresh)));
+            effects.push(Effect::Log(LogEntry::FreshnessChanged(fresh)));
         }
     }
 
@@ -101,17 +101,17 @@
                 self.capacity.listed().filter(|target| !names.contains(target.name.as_str()));
             used.extend(vanished.cloned());
         }
-        let ready = used.iter().filter(|target| target.ready).count();
+        let ready = used.iter().filter(|target| target.is_ready).count();
         let kept = used.len() - listed.len();
         let listed = used.len();
         let restarted = self.capacity.list(used);
         self.assign_lanes(now);
         let unordered = self.capacity.shut();
-        effects.push(Effect::Note(Note::Targets { ready, listed, kept, unordered }));
+        effects.push(Effect::Log(LogEntry::TargetsChanged { ready, listed, kept, unordered }));
         for target in restarted {
             // Requests whose connection broke off shortly before the restart ran when the target crashed.
             self.count_crashes(now, &target, true, effects);
-            effects.push(Effect::Note(Note::Restarted(target)));
+            effects.push(Effect::Log(LogEntry::Restarted(target)));
         }
         self.update_peers(now, effects);
     }
@@ -166,7 +166,11 @@
             self.together = together;
             self.next_grant = None;
             let expected = self.peers.expected(now, gone);
-            effects.push(Effect::Note(Note::Peers { heard, expected, together }));
+            effects.push(Effect::Log(LogEntry::PeersChanged {
+                known: heard,
+                expected,
+                usable: together,
+            }));
         }
         self.capacity.count_others(now, self.peers.running(now));
         self.advance_rollouts(now, effects);
--- a/components/scheduler/tests/direct.rs
+++ b/components/scheduler/tests/direct.rs
@@ -9,7 +9,7 @@
     targets,
 };
 use scheduler::direct::{
-    Effect, Event, Outcome, Reason,
+    Effect, Event, Outcome, RefusalReason,
     plan::{Account, Part, Repeat},
 };
 use test_case::test_case;
@@ -35,22 +35,23 @@
     split.parts =
         vec![Part { pool: "a".into(), weight: 90 }, Part { pool: "b".into(), weight: 10 }];
 
-    let count = (0..1_000).filter(|&draw| split.pool(draw).is_some_and(|pool| pool == "b")).count();
+    let count =
+        (0..1_000).filter(|&spread| split.pool(spread).is_some_and(|pool| pool == "b")).count();
 
     assert_eq!(count, 100);
 }
 
-#[test_case("/none/", Some("key"), Reason::NoRoute; "no route")]
-#[test_case("/a/", Some("other"), Reason::BadKey; "unknown key")]
-#[test_case("/a/", None, Reason::BadKey; "no key")]
+#[test_case("/none/", Some("key"), RefusalReason::NoRoute; "no route")]
+#[test_case("/a/", Some("other"), RefusalReason::BadKey; "unknown key")]
+#[test_case("/a/", None, RefusalReason::BadKey; "no key")]
 fn requests_without_route_or_valid_key_are_refused_as_not_run(
     path: &str,
     key: Option<&str>,
-    reason: Reason,
+    reason: RefusalReason,
 ) {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
     let mut invalid = request(1, path);
-    invalid.key = key.map(str::to_owned);
+    invalid.api_key = key.map(str::to_owned);
 
     let effects = process.arrive(invalid);
 
@@ -70,7 +71,7 @@
     let after = process.arrive(request(2, "/a/"));
 
     assert_eq!(starts(&before).len(), 1);
-    assert_eq!(refusal(&after).reason, Reason::NotReady);
+    assert_eq!(refusal(&after).reason, RefusalReason::NotReady);
     assert!(!process.state.is_ready());
 }
 
@@ -84,7 +85,7 @@
 
     let effects = process.arrive(request(1, "/a/"));
 
-    assert_eq!(refusal(&effects).reason, Reason::NotReady);
+    assert_eq!(refusal(&effects).reason, RefusalReason::NotReady);
 }
 
 #[test]
@@ -104,10 +105,10 @@
     let old = plan(1, vec![route("/old/", Repeat::Safe)], None);
     let mut process = process(plan(2, vec![route("/new/", Repeat::Safe)], None), targets(1));
 
-    process.send(Event::Planned(Arc::new(old)));
+    process.send(Event::ConfigurationRead(Arc::new(old)));
     let effects = process.arrive(request(1, "/old/"));
 
-    assert_eq!(refusal(&effects).reason, Reason::NoRoute);
+    assert_eq!(refusal(&effects).reason, RefusalReason::NoRoute);
 }
 
 #[test]
@@ -131,7 +132,7 @@
     process.arrive(request(3, "/low/"));
     process.arrive(request(4, "/high/"));
 
-    let effects = process.end(1, Outcome::Done);
+    let effects = process.end(1, Outcome::Completed);
 
     assert_eq!(start(&effects).ticket, 4);
 }
@@ -149,7 +150,7 @@
     process.arrive(request(1, "/high/"));
     process.arrive(request(2, "/high/"));
     let mut low_tier_request = request(3, "/low/");
-    low_tier_request.key = Some("first".into());
+    low_tier_request.api_key = Some("first".into());
     process.arrive(low_tier_request);
     process.arrive(request(4, "/high/"));
     process
@@ -159,7 +160,7 @@
 fn a_higher_tier_takes_precedence_over_a_higher_account_rank_at_first() {
     let mut process = process_with_waiting_ranks();
 
-    let effects = process.end(1, Outcome::Done);
+    let effects = process.end(1, Outcome::Completed);
 
     assert_eq!(start(&effects).ticket, 4);
 }
@@ -169,7 +170,7 @@
     let mut process = process_with_waiting_ranks();
     process.pass(Duration::from_millis(500));
 
-    let effects = process.end(1, Outcome::Done);
+    let effects = process.end(1, Outcome::Completed);
 
     assert_eq!(start(&effects).ticket, 3);
 }
@@ -184,7 +185,7 @@
 
     assert!(early.is_empty(), "{early:?}");
     let refusal = refusal(&late);
-    assert_eq!((refusal.reason, refusal.not_run), (Reason::NoRoom, true));
+    assert_eq!((refusal.reason, refusal.not_run), (RefusalReason::NoFreeSlot, true));
     assert!(refusal.retry_after.is_some_and(|wait| wait > Duration::from_millis(500)));
 }
 
@@ -192,7 +193,7 @@
 fn a_target_that_is_not_ready_gets_no_more_requests() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(2));
     let mut listed = targets(2);
-    listed[0].ready = false;
+    listed[0].is_ready = false;
     process.list(listed);
 
     let used: Vec<String> = (0..2)
@@ -212,7 +213,7 @@
     process.confirm();
     process.list(Vec::new());
     let just_after = process.arrive(request(1, "/a/"));
-    process.end(1, Outcome::Done);
+    process.end(1, Outcome::Completed);
     process.pass(Duration::from_millis(2_300));
     process.confirm();
 
@@ -224,13 +225,13 @@
 
 #[test_case(Repeat::Never, Outcome::Rejected => true; "rejected")]
 #[test_case(Repeat::Never, Outcome::Replaced => true; "replaced")]
-#[test_case(Repeat::Never, Outcome::Unreached => true; "unreached")]
-#[test_case(Repeat::Never, Outcome::Lost { crashed: true } => false; "lost")]
+#[test_case(Repeat::Never, Outcome::Unreachable => true; "unreached")]
+#[test_case(Repeat::Never, Outcome::Incomplete { crashed: true } => false; "lost")]
 #[test_case(Repeat::Never, Outcome::Failed => false; "failed")]
-#[test_case(Repeat::Safe, Outcome::Lost { crashed: true } => true; "safe and lost")]
+#[test_case(Repeat::Safe, Outcome::Incomplete { crashed: true } => true; "safe and lost")]
 #[test_case(Repeat::Safe, Outcome::Failed => true; "safe and failed")]
-#[test_case(Repeat::Resume, Outcome::Silent => true; "resumable and silent")]
-#[test_case(Repeat::Resume, Outcome::Expired => false; "expired")]
+#[test_case(Repeat::Resume, Outcome::Unresponsive => true; "resumable and unresponsive")]
+#[test_case(Repeat::Resume, Outcome::DeadlineExceeded => false; "expired")]
 fn a_request_is_dispatched_again_to_another_target(repeat: Repeat, outcome: Outcome) -> bool {
     let mut process = process(plan(1, vec![route("/a/", repeat)], None), targets(3));
     let first = start(&process.arrive(request(1, "/a/")));
@@ -248,7 +249,7 @@
     process.arrive(request(1, "/a/"));
     process.arrive(request(2, "/a/"));
 
-    let lost = process.end(1, Outcome::Lost { crashed: true });
+    let lost = process.end(1, Outcome::Incomplete { crashed: true });
     process.end(2, Outcome::Rejected);
     let waited = process.pass(Duration::from_secs(2));
 
@@ -265,13 +266,15 @@
 
     let effects = process.end(1, Outcome::Failed);
 
-    assert!(matches!(effects[..], [Effect::Pass { ticket: 1 }]), "{effects:?}");
+    assert!(matches!(effects[..], [Effect::PassFailure { ticket: 1 }]), "{effects:?}");
 }
 
 /// Guards against error answers of targets that the process replaces by a refusal of its own.
 #[test_case(1, &[Outcome::Failed]; "no other target has a free slot")]
-#[test_case(5, &[Outcome::Failed, Outcome::Lost { crashed: false }]; "another target lost it")]
-#[test_case(5, &[Outcome::Failed, Outcome::Rejected, Outcome::Expired]; "another target was too slow")]
+#[test_case(5, &[Outcome::Failed, Outcome::Incomplete { crashed: false }]; "another target lost it")]
+#[test_case(
+    5, &[Outcome::Failed, Outcome::Rejected, Outcome::DeadlineExceeded]; "another target was too slow"
+)]
 fn the_error_answer_of_a_target_is_passed_on_if_no_other_target_answers(
     count: u16,
     outcomes: &[Outcome],
@@ -286,14 +289,14 @@
     effects.extend(process.pass(Duration::from_secs(2)));
 
     let last = effects.last();
-    assert!(matches!(last, Some(Effect::Pass { ticket: 1 })), "{effects:?}");
+    assert!(matches!(last, Some(Effect::PassFailure { ticket: 1 })), "{effects:?}");
 }
 
 #[test]
 fn a_dispatch_that_did_not_run_does_not_count_as_an_attempt() {
     let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
     process.arrive(request(1, "/a/"));
-    process.end(1, Outcome::Unreached);
+    process.end(1, Outcome::Unreachable);
     process.end(1, Outcome::Rejected);
 
     let effects = process.end(1, Outcome::Failed);
@@ -313,10 +316,10 @@
     for ticket in 2..6 {
         process.arrive(request(ticket, "/high/"));
     }
-    let outcome = Outcome::Lost { crashed: true };
-    process.send(Event::Ended { ticket: 1, outcome, begun: true, events: 3 });
+    let outcome = Outcome::Incomplete { crashed: true };
+    process.send(Event::DispatchEnded { ticket: 1, outcome, begun: true, events: 3 });
 
-    let effects = process.end(2, Outcome::Done);
+    let effects = process.end(2, Outcome::Completed);
 
     assert_eq!(start(&effects).ticket, 1);
 }
@@ -332,7 +335,7 @@
     let repeated = (0..100_u64).filter(|&ticket| {
         process.arrive(request(ticket, "/a/"));
         let is_repeated = starts(&process.end(ticket, Outcome::Failed)).len() == 1;
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
         is_repeated
     });
 
@@ -366,8 +369,8 @@
         let mut poison = request(ticket, "/a/");
         poison.fingerprint = [9; 16];
         let target = start(&process.arrive(poison)).target;
-        let effects = process.end(ticket, Outcome::Lost { crashed: true });
-        process.send(Event::Left { ticket, events: 0 });
+        let effects = process.end(ticket, Outcome::Incomplete { crashed: true });
+        process.send(Event::CallerDisconnected { ticket, events: 0 });
         let is_probed = effects.iter().any(|effect| matches!(effect, Effect::Probe { .. }));
         process.send(Event::Probed { target, reached: false });
         is_probed
@@ -378,7 +381,7 @@
     poison.fingerprint = [9; 16];
     let effects = process.arrive(poison);
 
-    assert_eq!(refusal(&effects).reason, Reason::Quarantined);
+    assert_eq!(refusal(&effects).reason, RefusalReason::Quarantined);
 }
 
 /// Guards against requests that are quarantined since connections to live targets broke off.
@@ -389,8 +392,8 @@
         let mut unlucky = request(ticket, "/a/");
         unlucky.fingerprint = [9; 16];
         let target = start(&process.arrive(unlucky)).target;
-        process.end(ticket, Outcome::Lost { crashed: true });
-        process.send(Event::Left { ticket, events: 0 });
+        process.end(ticket, Outcome::Incomplete { crashed: true });
+        process.send(Event::CallerDisconnected { ticket, events: 0 });
         process.send(Event::Probed { target, reached: true });
     }
 
@@ -407,12 +410,12 @@
 
     let refused = (0..40).find_map(|ticket| {
         let effects = process.arrive(request(ticket, "/a/"));
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
         starts(&effects).is_empty().then(|| refusal(&effects))
     });
 
     let refused = refused.expect("a limit of 100 tokens a second refuses 40 times 110 tokens");
-    assert_eq!(refused.reason, Reason::Limit);
+    assert_eq!(refused.reason, RefusalReason::AccountLimit);
     assert!(refused.retry_after.is_some_and(|wait| !wait.is_zero()));
 }
 
@@ -422,7 +425,7 @@
     let mut process = process(plan, targets(9));
     process.arrive(request(1, "/a/"));
 
-    process.end(1, Outcome::Done);
+    process.end(1, Outcome::Completed);
 
     let now = process.now.steady;
     assert_eq!(process.state.row(now).accounts[0].spent, 110);
@@ -446,14 +449,14 @@
     let end = process.now.steady + Duration::from_secs(4);
     process.send(Event::Drain { end });
     let mut short = request(1, "/a/");
-    short.patience = Some(Duration::from_secs(3));
+    short.timeout = Some(Duration::from_secs(3));
 
     let accepted = process.arrive(short);
     let refused = process.arrive(request(2, "/a/"));
 
     assert_eq!(starts(&accepted).len(), 1);
     let refusal = refusal(&refused);
-    assert_eq!((refusal.reason, refusal.not_run), (Reason::Draining, true));
+    assert_eq!((refusal.reason, refusal.not_run), (RefusalReason::Draining, true));
     assert_eq!(refusal.retry_after, Some(Duration::ZERO));
     assert!(!process.state.is_ready());
 }
--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -12,7 +12,7 @@
 };
 use model::reservation::Load;
 use scheduler::direct::{
-    Effect, Event, Lapse, Outcome, Request, Target, Ticket,
+    DenialReason, Effect, Event, Outcome, Request, Target, Ticket,
     plan::{Repeat, Route},
 };
 use test_case::test_case;
@@ -24,7 +24,7 @@
 /// Targets that each have an agent.
 fn targets_with_agents(count: u16) -> Vec<Target> {
     let agent = |number| Some(direct_support::address(2_000 + number));
-    (0..count).map(|number| Target { agent: agent(number), ..target(number) }).collect()
+    (0..count).map(|number| Target { agent_address: agent(number), ..target(number) }).collect()
 }
 
 /// An entry process with one route whose streams can be resumed and one whose requests aren't repeated.
@@ -36,7 +36,7 @@
 /// Numbers of the reservations that are withdrawn.
 fn withdrawn(effects: &[Effect]) -> Vec<u32> {
     let withdrawn = effects.iter().filter_map(|effect| match effect {
-        Effect::Withdraw { number, .. } => Some(*number),
+        Effect::WithdrawReservation { number, .. } => Some(*number),
         _ => None,
     });
     withdrawn.collect()
@@ -46,8 +46,8 @@
     process.send(Event::Granted { ticket, number, load: Load::default() })
 }
 
-fn deny(process: &mut Process, ticket: Ticket, number: u32, lapse: Lapse) -> Vec<Effect> {
-    process.send(Event::Denied { ticket, number, lapse })
+fn deny(process: &mut Process, ticket: Ticket, number: u32, reason: DenialReason) -> Vec<Effect> {
+    process.send(Event::Denied { ticket, number, reason })
 }
 
 #[test]
@@ -89,7 +89,7 @@
         let mut other = blank(50 + number);
         other.now = entry.now;
         let row = other.state.row(other.now.steady);
-        entry.send(Event::Heard(vec![row]));
+        entry.send(Event::RowsReceived(vec![row]));
     }
 }
 
@@ -105,7 +105,7 @@
 
     let (first, second) = (reserved(target_without_agent()), reserved(reversed));
 
-    assert_eq!((first.target.as_str(), first.beside), ("target-9", false));
+    assert_eq!((first.target.as_str(), first.is_local_agent), ("target-9", false));
     assert_eq!(first.agent, second.agent);
     assert!(first.slots > target(9).slots);
 }
@@ -147,7 +147,7 @@
     discover_peers(&mut entry, 2);
     let before = reservations(&entry.arrive(request(1, "/never/"))).remove(0);
     let mark_leaving = |target: Target| Target {
-        ready: target.ready && target.agent != Some(before.agent),
+        is_ready: target.is_ready && target.agent_address != Some(before.agent),
         ..target
     };
 
@@ -177,7 +177,7 @@
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
 
-    let effects = entry.end(1, Outcome::Done);
+    let effects = entry.end(1, Outcome::Completed);
 
     assert_eq!(withdrawn(&effects), [1]);
 }
@@ -187,7 +187,7 @@
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.send(Event::Left { ticket: 1, events: 0 });
+    let effects = entry.send(Event::CallerDisconnected { ticket: 1, events: 0 });
 
     assert_eq!(withdrawn(&effects), [1, 2]);
 }
@@ -205,7 +205,7 @@
 
 #[test_case(vec![]; "if its target is unlisted")]
 #[test_case(
-    vec![Target { ready: false, ..targets_with_agents(1).remove(0) }];
+    vec![Target { is_ready: false, ..targets_with_agents(1).remove(0) }];
     "if its target is leaving"
 )]
 fn a_reservation_is_withdrawn(remaining: Vec<Target>) {
@@ -223,8 +223,8 @@
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let at_once = deny(&mut entry, 1, 1, Lapse::Away);
-    entry.end(1, Outcome::Done);
+    let at_once = deny(&mut entry, 1, 1, DenialReason::AgentUnreachable);
+    entry.end(1, Outcome::Completed);
     entry.pass(FIRST_BACKOFF_PASSED);
     let later = entry.arrive(request(2, "/never/"));
 
@@ -240,7 +240,7 @@
     let reached = entry.state.row(entry.now.steady).running;
     entry.arrive(request(2, "/never/"));
 
-    deny(&mut entry, 2, 1, Lapse::Away);
+    deny(&mut entry, 2, 1, DenialReason::AgentUnreachable);
     let unreachable = entry.state.row(entry.now.steady).running;
 
     assert!(reached.is_empty(), "{reached:?}");
@@ -252,7 +252,7 @@
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let at_once = deny(&mut entry, 1, 1, Lapse::Unreached);
+    let at_once = deny(&mut entry, 1, 1, DenialReason::TargetUnreachable);
     let later = entry.pass(FIRST_BACKOFF_PASSED);
 
     assert!(starts(&at_once).is_empty() && reservations(&at_once).is_empty());
@@ -264,10 +264,10 @@
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/resume/"));
     let first = start(&grant(&mut entry, 1, 1)).target;
-    entry.send(Event::Began { ticket: 1 });
+    entry.send(Event::AnswerBegan { ticket: 1 });
 
-    let outcome = Outcome::Lost { crashed: false };
-    let effects = entry.send(Event::Ended { ticket: 1, outcome, begun: true, events: 1 });
+    let outcome = Outcome::Incomplete { crashed: false };
+    let effects = entry.send(Event::DispatchEnded { ticket: 1, outcome, begun: true, events: 1 });
 
     let again = reservations(&effects);
     assert_eq!(again.len(), 2);
@@ -281,8 +281,8 @@
 
     for ticket in 0..400_u64 {
         // The draws of real requests are hashes, so spread the tickets over the whole range.
-        let draw = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let request = scheduler::direct::Request { draw, ..request(ticket, "/never/") };
+        let spread = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let request = scheduler::direct::Request { spread, ..request(ticket, "/never/") };
         for reserved in reservations(&entry.arrive(request)) {
             let number = reserved.target.trim_start_matches("target-");
             reservations_per_target
@@ -313,14 +313,14 @@
         entry.confirm();
     }
     for ticket in 0..90 {
-        let request = Request { patience: Some(PATIENCE), ..request(ticket, "/patient/") };
+        let request = Request { timeout: Some(PATIENCE), ..request(ticket, "/patient/") };
         let number = reservations(&entry.arrive(request))[0].number;
         grant(&mut entry, ticket, number);
     }
     let mut reserved = Vec::new();
     for ticket in 0..90 {
-        let outcome = Outcome::Lost { crashed: false };
-        let broken = Event::Ended { ticket, outcome, begun: true, events: 3 };
+        let outcome = Outcome::Incomplete { crashed: false };
+        let broken = Event::DispatchEnded { ticket, outcome, begun: true, events: 3 };
         reserved.extend(reservations(&entry.send(broken)));
     }
     for _ in 0..200 {
--- a/components/scheduler/tests/direct_agents_fuzz.rs
+++ b/components/scheduler/tests/direct_agents_fuzz.rs
@@ -16,7 +16,9 @@
 };
 use scheduler::{
     agent::{self, Policy, Room, State},
-    direct::{self, Effect, Event, Lapse, Outcome, Reservation, Target, Ticket, plan::Repeat},
+    direct::{
+        self, DenialReason, Effect, Event, Outcome, Reservation, Target, Ticket, plan::Repeat,
+    },
 };
 use uuid::Uuid;
 
@@ -85,11 +87,11 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let repeat = prop_oneof![Just(Repeat::Safe), Just(Repeat::Never)];
     let outcome = prop_oneof![
-        4 => Just(Outcome::Done),
+        4 => Just(Outcome::Completed),
         1 => Just(Outcome::Rejected),
-        1 => Just(Outcome::Unreached),
+        1 => Just(Outcome::Unreachable),
         1 => Just(Outcome::Failed),
-        1 => any::<bool>().prop_map(|crashed| Outcome::Lost { crashed }),
+        1 => any::<bool>().prop_map(|crashed| Outcome::Incomplete { crashed }),
     ];
     prop_oneof![
         6 => (0..ENTRY_COUNT, repeat).prop_map(|(entry, repeat)| Step::Arrive { entry, repeat }),
@@ -107,8 +109,9 @@
 fn world() -> World {
     let routes = vec![route("/safe/", Repeat::Safe), route("/never/", Repeat::Never)];
     let agent = |number| Some(address(2_000 + number));
-    let targets: Vec<Target> =
-        (0..TARGET_COUNT).map(|number| Target { agent: agent(number), ..target(number) }).collect();
+    let targets: Vec<Target> = (0..TARGET_COUNT)
+        .map(|number| Target { agent_address: agent(number), ..target(number) })
+        .collect();
     let entry = |_| process(plan(1, routes.clone(), None), targets.clone());
     let grant = Duration::from_secs(10);
     let room = Room { slots: SLOTS_PER_TARGET, tokens: u64::MAX, waiting: 100, grant };
@@ -141,7 +144,7 @@
                     );
                     self.enqueue(key, agent, true, Message::Reserve(key, rank));
                 }
-                Effect::Withdraw { ticket, number } => {
+                Effect::WithdrawReservation { ticket, number } => {
                     let key = (entry, ticket, number);
                     // An entry process must not withdraw a reservation that was denied or is withdrawn
                     // already.
@@ -150,7 +153,7 @@
                     self.running.retain(|_, held| *held != key);
                     self.enqueue(key, agent, true, Message::Withdraw(key));
                 }
-                Effect::Start(start) => {
+                Effect::Dispatch(start) => {
                     let key = granted.expect("a request starts only after a grant");
                     assert_eq!(start.target, format!("target-{}", self.open_reservations[&key]));
                     let before = self.running.insert((entry, start.ticket), key);
@@ -213,8 +216,8 @@
             }
             Message::Denied(key) => {
                 if self.open_reservations.remove(&key).is_some() {
-                    let lapse = Lapse::Late;
-                    let event = Event::Denied { ticket: key.1, number: key.2, lapse };
+                    let reason = DenialReason::TimedOut;
+                    let event = Event::Denied { ticket: key.1, number: key.2, reason };
                     self.send_to_entry(entry, None, event);
                 }
             }
@@ -239,7 +242,11 @@
             self.entries[entry].now.steady += time;
             self.entries[entry].now.boot += time;
             let boot = self.entries[entry].now.boot;
-            self.send_to_entry(entry, None, Event::Confirmed { boot, version: u64::MAX, era: 0 });
+            self.send_to_entry(
+                entry,
+                None,
+                Event::ConfigurationConfirmed { boot, version: u64::MAX, era: 0 },
+            );
         }
         for agent in 0..self.agents.len() {
             self.send_to_agent(agent, agent::Event::Tick);
@@ -251,7 +258,11 @@
     }
 
     fn end(&mut self, (entry, ticket): (usize, Ticket), outcome: Outcome) {
-        self.send_to_entry(entry, None, Event::Ended { ticket, outcome, begun: false, events: 0 });
+        self.send_to_entry(
+            entry,
+            None,
+            Event::DispatchEnded { ticket, outcome, begun: false, events: 0 },
+        );
     }
 
     fn apply(&mut self, step: Step) {
@@ -259,9 +270,9 @@
             Step::Arrive { entry, repeat } => {
                 self.arrived += 1;
                 let path = if repeat == Repeat::Safe { "/safe/" } else { "/never/" };
-                let draw = self.arrived.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-                let request = direct::Request { draw, ..request(self.arrived, path) };
-                self.send_to_entry(entry, None, Event::Arrived(request));
+                let spread = self.arrived.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+                let request = direct::Request { spread, ..request(self.arrived, path) };
+                self.send_to_entry(entry, None, Event::RequestReceived(request));
             }
             Step::Deliver(nth) => {
                 let in_flight = self.in_flight.iter().filter(|(_, messages)| !messages.is_empty());
@@ -276,7 +287,11 @@
             }
             Step::Leave(nth) => {
                 if let Some((entry, ticket)) = self.nth_running(nth) {
-                    self.send_to_entry(entry, None, Event::Left { ticket, events: 0 });
+                    self.send_to_entry(
+                        entry,
+                        None,
+                        Event::CallerDisconnected { ticket, events: 0 },
+                    );
                 }
             }
             Step::Wait(ms) => self.pass(Duration::from_millis(ms.into())),
@@ -297,7 +312,7 @@
     for _ in 0..40 {
         world.pass(Duration::from_secs(1));
         while let Some(run) = world.nth_running(0) {
-            world.end(run, Outcome::Done);
+            world.end(run, Outcome::Completed);
         }
     }
     world.deliver_all();
--- a/components/scheduler/tests/direct_crashes.rs
+++ b/components/scheduler/tests/direct_crashes.rs
@@ -31,7 +31,7 @@
     settings.incarnation = incarnation;
     let state = direct::open(clock.now.steady, settings);
     let mut entry = Process { state, now: clock.now, ..blank(number) };
-    entry.send(Event::Planned(plan(1, vec![route("/a/", Repeat::Safe)], None).into()));
+    entry.send(Event::ConfigurationRead(plan(1, vec![route("/a/", Repeat::Safe)], None).into()));
     entry.confirm();
     entry.list(targets(9));
     entry
@@ -53,8 +53,8 @@
 /// Dispatches a request with a body that crashes its target; the target is used again afterwards.
 fn crash_target(entry: &mut Process, ticket: Ticket, body: u16) {
     let target = start(&entry.arrive(request_with_body(ticket, body))).target;
-    entry.end(ticket, Outcome::Lost { crashed: true });
-    entry.send(Event::Left { ticket, events: 0 });
+    entry.end(ticket, Outcome::Incomplete { crashed: true });
+    entry.send(Event::CallerDisconnected { ticket, events: 0 });
     entry.send(Event::Probed { target, reached: false });
     // After this time the target is no longer marked as down.
     entry.pass(Duration::from_secs(2));
@@ -65,7 +65,7 @@
 /// which are returned.
 fn receive_from(entry: &mut Process, other: &mut Process) -> Vec<Topic> {
     let row = other.state.row(other.now.steady);
-    entry.send(Event::Heard(vec![row]));
+    entry.send(Event::RowsReceived(vec![row]));
     let (topics, _) = entry.hear_offer(other);
     topics.iter().for_each(|&topic| drop(entry.fetch(other, topic)));
     topics
@@ -146,7 +146,7 @@
             let offer = entries[other].state.offer(entries[other].now);
             let peer = entries[other].address;
             let mut effects = entries[index].pass(EXCHANGE_INTERVAL);
-            effects.extend(entries[index].send(Event::Offered { peer, offer }));
+            effects.extend(entries[index].send(Event::PeerOffered { peer, offer }));
             for (peer, topic) in fetches(&effects) {
                 let is_peer = |entry: &Process| entry.address == peer;
                 let other = entries.iter().position(is_peer).expect("the peer is an entry");
@@ -191,16 +191,16 @@
     let mut entry = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(4));
     for ticket in 1..=2 {
         let target = start(&entry.arrive(request_with_body(ticket, 0))).target;
-        entry.end(ticket, Outcome::Lost { crashed: true });
+        entry.end(ticket, Outcome::Incomplete { crashed: true });
         entry.send(Event::Probed { target: target.clone(), reached: true });
         // Another request is dispatched to the same target, and the connection fails.
         let mut other = 10 * ticket;
         while start(&entry.arrive(request(other, "/a/"))).target != target {
             other += 1;
         }
-        entry.end(other, Outcome::Unreached);
+        entry.end(other, Outcome::Unreachable);
         for ticket in 10 * ticket..=other + 1 {
-            entry.send(Event::Left { ticket, events: 0 });
+            entry.send(Event::CallerDisconnected { ticket, events: 0 });
         }
         entry.pass(Duration::from_millis(500));
     }
@@ -229,8 +229,8 @@
     let before = row_size(&mut entry);
 
     for ticket in 0..500 {
-        entry.arrive(Request { key: Some(format!("key-{ticket}")), ..request(ticket, "/a/") });
-        entry.end(ticket, Outcome::Done);
+        entry.arrive(Request { api_key: Some(format!("key-{ticket}")), ..request(ticket, "/a/") });
+        entry.end(ticket, Outcome::Completed);
         entry.confirm();
     }
     // In this time the buckets of all accounts fill up again.
--- a/components/scheduler/tests/direct_eras.rs
+++ b/components/scheduler/tests/direct_eras.rs
@@ -11,7 +11,7 @@
     FRESHNESS, Process, address, plan, process, refusal, request, route, settings, starts, target,
     targets,
 };
-use scheduler::direct::{self, Event, Reason, Target, plan::Repeat};
+use scheduler::direct::{self, Event, RefusalReason, Target, plan::Repeat};
 
 /// Longer than the time within which writers write the records again that a backup lacks.
 const AFTER_REWRITE: Duration = Duration::from_millis(1_100);
@@ -32,7 +32,7 @@
 /// Lets the process read the platform's newest configuration, which has this version.
 fn confirm(process: &mut Process, version: u64) {
     let (boot, era) = (process.now.boot, process.era);
-    process.send(Event::Confirmed { boot, version, era });
+    process.send(Event::ConfigurationConfirmed { boot, version, era });
 }
 
 /// Sends a request to the process; returns the targets to which waiting requests were dispatched.
@@ -52,7 +52,7 @@
     }
 
     let refused = refusal(&process.arrive(request(1, "/a/")));
-    assert_eq!(refused.reason, Reason::NotReady);
+    assert_eq!(refused.reason, RefusalReason::NotReady);
     assert_eq!(process.state.known().plan, 7);
 }
 
@@ -99,7 +99,7 @@
 #[test]
 fn a_draining_target_gets_no_requests_when_a_backup_lists_it_as_ready() {
     let mut process = serving_process(7);
-    process.list(vec![Target { ready: false, ..target(0) }, target(1)]);
+    process.list(vec![Target { is_ready: false, ..target(0) }, target(1)]);
     restore_backup(&mut process, 7);
 
     process.list(targets(2));
@@ -128,7 +128,7 @@
     }
     process.era += 1;
 
-    process.list(vec![Target { ready: false, ..target(0) }, target(1)]);
+    process.list(vec![Target { is_ready: false, ..target(0) }, target(1)]);
 
     let used: Vec<String> = (0..4).flat_map(|ticket| dispatched(&mut process, ticket)).collect();
     assert_eq!(used, ["target-1", "target-1"]);
@@ -139,7 +139,7 @@
 fn process_started_in_second_era(other: &Process) -> Process {
     let state = direct::open(other.now.steady, settings(2));
     let mut process = Process { state, now: other.now, era: 2, address: address(2) };
-    process.send(Event::Planned(plan(6, vec![route("/a/", Repeat::Safe)], None).into()));
+    process.send(Event::ConfigurationRead(plan(6, vec![route("/a/", Repeat::Safe)], None).into()));
     process.list(targets(2));
     confirm(&mut process, 6);
     process
@@ -149,14 +149,14 @@
 fn a_process_that_starts_on_a_backup_refuses_keys_until_a_peer_made_an_offer() {
     let other = serving_process(7);
     let mut process = process_started_in_second_era(&other);
-    assert_eq!(refusal(&process.arrive(request(1, "/a/"))).reason, Reason::NotReady);
+    assert_eq!(refusal(&process.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
 
     process.ask(&other);
     confirm(&mut process, 6);
 
     // The process has the peer's newer configuration now, which the backup doesn't confirm.
     assert_eq!(process.state.known().plan, 7);
-    assert_eq!(refusal(&process.arrive(request(2, "/a/"))).reason, Reason::NotReady);
+    assert_eq!(refusal(&process.arrive(request(2, "/a/"))).reason, RefusalReason::NotReady);
     confirm(&mut process, 7);
     assert_eq!(dispatched(&mut process, 3).len(), 1);
 }
--- a/components/scheduler/tests/direct_fuzz.rs
+++ b/components/scheduler/tests/direct_fuzz.rs
@@ -76,14 +76,14 @@
 fn step() -> impl Strategy<Value = Step> {
     let repeat = prop_oneof![Just(Repeat::Safe), Just(Repeat::Resume), Just(Repeat::Never)];
     let outcome = prop_oneof![
-        4 => Just(Outcome::Done),
+        4 => Just(Outcome::Completed),
         1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Replaced),
-        1 => Just(Outcome::Unreached),
+        1 => Just(Outcome::Unreachable),
         1 => Just(Outcome::Failed),
-        1 => Just(Outcome::Silent),
-        1 => Just(Outcome::Expired),
-        2 => any::<bool>().prop_map(|crashed| Outcome::Lost { crashed }),
+        1 => Just(Outcome::Unresponsive),
+        1 => Just(Outcome::DeadlineExceeded),
+        2 => any::<bool>().prop_map(|crashed| Outcome::Incomplete { crashed }),
     ];
     prop_oneof![
         6 => repeat.prop_map(Step::Arrive),
@@ -103,7 +103,7 @@
     fn check(&mut self, effects: &[Effect]) {
         for effect in effects {
             match effect {
-                Effect::Start(start) => {
+                Effect::Dispatch(start) => {
                     assert!(
                         self.listed.contains(&start.target),
                         "target isn't listed: {}",
@@ -134,15 +134,15 @@
                     assert!(refusal.not_run || refusal.retry_after.is_none(), "{refusal:?}");
                     request.has_ended = true;
                 }
-                Effect::Pass { ticket } => {
+                Effect::PassFailure { ticket } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
                     assert!(!request.has_ended && request.running_at.is_none(), "{request:?}");
                     request.has_ended = true;
                 }
-                Effect::Reserve(_) | Effect::Withdraw { .. } => {
+                Effect::Reserve(_) | Effect::WithdrawReservation { .. } => {
                     panic!("no target has an agent: {effect:?}")
                 }
-                Effect::Leave { ticket, target } => {
+                Effect::CancelDispatch { ticket, target } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
                     assert!(request.may_seek && !request.has_ended, "{request:?}");
                     assert!(
@@ -151,7 +151,7 @@
                     );
                     request.may_seek = false;
                 }
-                Effect::Fetch { .. } | Effect::Probe { .. } | Effect::Note(_) => {}
+                Effect::Fetch { .. } | Effect::Probe { .. } | Effect::Log(_) => {}
             }
         }
     }
@@ -211,8 +211,13 @@
                 request.running_at = None;
                 request.may_seek = false;
                 request.possible_runs += usize::from(outcome.may_have_run());
-                request.has_ended = outcome == Outcome::Done;
-                process.send(Event::Ended { ticket, outcome, begun, events: u32::from(begun) })
+                request.has_ended = outcome == Outcome::Completed;
+                process.send(Event::DispatchEnded {
+                    ticket,
+                    outcome,
+                    begun,
+                    events: u32::from(begun),
+                })
             }
             Step::TargetStalls(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -220,7 +225,7 @@
                 };
                 let request = oracle.requests.get_mut(&ticket).expect("the request is in flight");
                 request.may_seek |= request.retry_policy != Repeat::Never;
-                process.send(Event::Quiet { ticket, begun: false })
+                process.send(Event::TargetUnresponsive { ticket, begun: false })
             }
             Step::TargetResumes(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -228,7 +233,7 @@
                 };
                 oracle.requests.get_mut(&ticket).expect("the request is in flight").may_seek =
                     false;
-                process.send(Event::Spoke { ticket })
+                process.send(Event::TargetResumed { ticket })
             }
             Step::CallerLeaves(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -237,7 +242,7 @@
                 let request = oracle.requests.get_mut(&ticket).expect("the request is in flight");
                 request.running_at = None;
                 request.has_ended = true;
-                process.send(Event::Left { ticket, events: 0 })
+                process.send(Event::CallerDisconnected { ticket, events: 0 })
             }
             Step::PassMs(ms) => process.pass(Duration::from_millis(ms.into())),
             Step::Confirm => process.confirm(),
--- a/components/scheduler/tests/direct_holds.rs
+++ b/components/scheduler/tests/direct_holds.rs
@@ -27,7 +27,7 @@
     for ticket in first_ticket..first_ticket + OBSERVED_REQUESTS {
         process.arrive(request(ticket, path));
         process.pass(held);
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
         process.confirm();
     }
 }
@@ -65,7 +65,7 @@
     process.arrive(request(3, "/low/"));
     process.arrive(request(4, "/high/"));
 
-    let effects = process.end(1, Outcome::Done);
+    let effects = process.end(1, Outcome::Completed);
 
     assert_eq!(starts(&effects).iter().map(|start| start.ticket).collect::<Vec<_>>(), [4]);
 }
--- a/components/scheduler/tests/direct_lengths.rs
+++ b/components/scheduler/tests/direct_lengths.rs
@@ -47,7 +47,7 @@
 fn process_without_speeds(slow_only: bool) -> Process {
     let numbers = (0..TARGET_COUNT).filter(|number| !slow_only || !number.is_multiple_of(3));
     let agent = |number| Some(address(2_000 + number));
-    let targets = numbers.map(|number| Target { agent: agent(number), ..target(number) });
+    let targets = numbers.map(|number| Target { agent_address: agent(number), ..target(number) });
     process(plan(1, vec![route("/a/", Repeat::Resume)], None), targets.collect())
 }
 
@@ -58,7 +58,7 @@
         let reserved = reservations(&process.arrive(expecting(ticket, SHORT_TOKENS)));
         let last = reserved.last().expect("the request is reserved");
         grant(&mut process, last, step(&last.target));
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
     }
     process
 }
@@ -81,7 +81,7 @@
 
     let reserved: Vec<Reservation> = (0..40)
         .flat_map(|ticket| {
-            let request = Request { expected, ..expecting(ticket, SHORT_TOKENS) };
+            let request = Request { expected_tokens: expected, ..expecting(ticket, SHORT_TOKENS) };
             reservations(&process.arrive(request))
         })
         .collect();
@@ -99,7 +99,7 @@
 #[test]
 fn a_grant_of_a_target_that_is_too_slow_is_withdrawn_and_another_target_is_reserved() {
     let agent = |number| Some(address(2_000 + number));
-    let two = (0..2).map(|number| Target { agent: agent(number), ..target(number) });
+    let two = (0..2).map(|number| Target { agent_address: agent(number), ..target(number) });
     let mut process = process(plan(1, vec![route("/a/", Repeat::Resume)], None), two.collect());
     let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
     let fast = reserved.iter().find(|reserved| is_fast(&reserved.target));
@@ -111,7 +111,7 @@
     let effects = grant(&mut process, &slow, SLOW_STEP);
 
     assert!(starts(&effects).is_empty());
-    let is_withdrawn = |effect: &Effect| matches!(effect, Effect::Withdraw { ticket: 100, number } if *number == slow.number);
+    let is_withdrawn = |effect: &Effect| matches!(effect, Effect::WithdrawReservation { ticket: 100, number } if *number == slow.number);
     assert!(effects.iter().any(is_withdrawn));
     assert!(reservations(&effects).iter().all(|reserved| reserved.target != slow.target));
 }
@@ -122,7 +122,7 @@
 
     let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
 
-    assert_eq!((reserved[0].tokens.prompt, reserved[0].tokens.output), (100, SHORT_TOKENS));
+    assert_eq!((reserved[0].tokens.prompt, reserved[0].tokens.max_output), (100, SHORT_TOKENS));
     let effects = grant(&mut process, &reserved[0], FAST_STEP);
     assert_eq!(start(&effects).ticket, 1);
 }
@@ -135,11 +135,11 @@
 
     let effects = process.pass(Duration::from_secs(2));
 
-    let grounds = effects.iter().find_map(|effect| match effect {
-        Effect::Refuse { grounds, .. } => Some(grounds),
+    let context = effects.iter().find_map(|effect| match effect {
+        Effect::Refuse { context, .. } => Some(context),
         _ => None,
     });
-    let fits = grounds.expect("the request is refused, since no agent granted a slot").fits;
-    assert_eq!((fits.up, fits.fitting, fits.fast), (12, fitting, 4));
-    assert_eq!(fits.fastest, Some(2.0));
+    let fits = context.expect("the request is refused, since no agent granted a slot").fits;
+    assert_eq!((fits.available, fits.fitting, fits.fast), (12, fitting, 4));
+    assert_eq!(fits.fastest_token_ms, Some(2.0));
 }
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -18,7 +18,7 @@
     test_runner::{Config, RngSeed},
 };
 use scheduler::direct::{
-    self, Effect, Event, Introduction, Now, Outcome, Ticket, Tokens,
+    self, Effect, Event, Now, Outcome, Registration, Ticket, Tokens,
     allowance::Tolerance,
     plan::{Part, Repeat, Route},
 };
@@ -109,7 +109,7 @@
     let address = settings.address;
     let mut process = Process { state: direct::open(now.steady, settings), now, address, era: 1 };
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(RATE)));
-    process.send(Event::Planned(Arc::new(plan)));
+    process.send(Event::ConfigurationRead(Arc::new(plan)));
     process.list(targets(60));
     process
 }
@@ -180,13 +180,15 @@
     fn register_all(&mut self) {
         self.last_stamp += 1;
         let stamp = self.last_stamp;
-        let registration = |number| Introduction { address: address(number + 1), stamp };
+        let registration = |number| Registration { address: address(number + 1), stamp };
         let reaching = (0..PROCESSES).filter(|&number| self.reaches_platform(number));
-        let registered: Vec<Introduction> = reaching.map(registration).collect();
+        let registered: Vec<Registration> = reaching.map(registration).collect();
         for number in 0..PROCESSES {
             if self.reaches_platform(number) {
                 self.run(number, |process| process.confirm());
-                self.run(number, |process| process.send(Event::Introduced(registered.clone())));
+                self.run(number, |process| {
+                    process.send(Event::PeersDiscovered(registered.clone()))
+                });
             }
         }
     }
@@ -201,8 +203,8 @@
                 let now = self.processes[0].now.steady;
                 let from_a = self.processes[usize::from(a)].state.row(now);
                 let from_b = self.processes[usize::from(b)].state.row(now);
-                self.run(b, |process| process.send(Event::Heard(vec![from_a])));
-                self.run(a, |process| process.send(Event::Heard(vec![from_b])));
+                self.run(b, |process| process.send(Event::RowsReceived(vec![from_a])));
+                self.run(a, |process| process.send(Event::RowsReceived(vec![from_b])));
                 self.fetch(a, b);
                 self.fetch(b, a);
             }
@@ -220,7 +222,7 @@
     fn send_request(&mut self, number: u16, prompt: u32) {
         self.last_ticket += 1;
         let mut request = request(self.last_ticket, "/a/");
-        request.tokens = Some(Tokens { prompt, output: 0 });
+        request.tokens = Some(Tokens { prompt, max_output: 0 });
         self.waiting.insert((number, self.last_ticket), prompt);
         self.run(number, |process| process.arrive(request));
     }
@@ -233,7 +235,7 @@
             let now = process.now.steady;
             let mut next = Vec::new();
             for start in starts(&effects) {
-                next.extend(process.end(start.ticket, Outcome::Done));
+                next.extend(process.end(start.ticket, Outcome::Completed));
                 let prompt =
                     self.waiting.remove(&(number, start.ticket)).expect("the request was sent");
                 *self.served.entry(prompt).or_default() += 1;
@@ -531,7 +533,7 @@
     let plan = Arc::new(plan(1, vec![route("/a/", Repeat::Safe), no_targets], Some(limit(RATE))));
     let mut processes = [1, 2].map(blank);
     for process in &mut processes {
-        process.send(Event::Planned(Arc::clone(&plan)));
+        process.send(Event::ConfigurationRead(Arc::clone(&plan)));
         process.confirm();
         process.list(targets(60));
     }
@@ -543,10 +545,13 @@
         });
         let [first, second] = processes;
         let [of_first, of_second] = rows;
-        [first.send(Event::Heard(vec![of_second])), second.send(Event::Heard(vec![of_first]))]
+        [
+            first.send(Event::RowsReceived(vec![of_second])),
+            second.send(Event::RowsReceived(vec![of_first])),
+        ]
     };
     let request_with_tokens = |ticket, path, prompt| {
-        let tokens = Some(Tokens { prompt, output: 0 });
+        let tokens = Some(Tokens { prompt, max_output: 0 });
         direct::Request { tokens, ..request(ticket, path) }
     };
     (0..20).for_each(|_| drop(pass(&mut processes, Duration::from_millis(200))));
@@ -573,7 +578,7 @@
     let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
     let mut process = direct_support::process(plan, targets(99));
     let request = |ticket| {
-        let tokens = Some(Tokens { prompt: 100, output: 0 });
+        let tokens = Some(Tokens { prompt: 100, max_output: 0 });
         direct::Request { tokens, ..direct_support::request(ticket, "/a/") }
     };
 
--- a/components/scheduler/tests/direct_paces.rs
+++ b/components/scheduler/tests/direct_paces.rs
@@ -110,7 +110,7 @@
 /// An entry process that received each agent's load report with a grant.
 fn process_with_loads(loads: &[Load]) -> Process {
     let targets = (0..loads.len() as u16)
-        .map(|n| Target { agent: Some(address(2_000 + n)), ..target(n) })
+        .map(|n| Target { agent_address: Some(address(2_000 + n)), ..target(n) })
         .collect();
     let mut process = process(plan(1, vec![route("/a/", Repeat::Resume)], None), targets);
     let mut reported = BTreeSet::new();
@@ -119,7 +119,7 @@
         let last = reserved.last().expect("the request is reserved");
         let load = loads[usize::from(target_number(last))];
         process.send(Event::Granted { ticket, number: last.number, load });
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
         reported.insert(target_number(last));
     }
     assert_eq!(reported.len(), loads.len(), "each agent has reported its load");
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -24,7 +24,7 @@
     for _ in 0..2 {
         let rows: Vec<Row> = processes.iter_mut().map(|it| it.state.row(it.now.steady)).collect();
         for process in &mut processes {
-            process.send(Event::Heard(rows.clone()));
+            process.send(Event::RowsReceived(rows.clone()));
         }
     }
     processes
--- a/components/scheduler/tests/direct_plain.rs
+++ b/components/scheduler/tests/direct_plain.rs
@@ -108,7 +108,8 @@
 
 /// Returns targets of another pool, each with its own agent.
 fn targets_with_agents() -> Vec<Target> {
-    let model = |n| Target { pool: "models".into(), agent: Some(address(2_000 + n)), ..target(n) };
+    let model =
+        |n| Target { pool: "models".into(), agent_address: Some(address(2_000 + n)), ..target(n) };
     (10..15).map(model).collect()
 }
 
@@ -118,7 +119,7 @@
     let mut call = route("/call/", Repeat::Never);
     call.aim = Duration::from_millis(ON_TIME_MS);
     call.timeout = Duration::from_millis(800);
-    entry.send(Event::Planned(plan(1, vec![call], None).into()));
+    entry.send(Event::ConfigurationRead(plan(1, vec![call], None).into()));
     entry.confirm();
     entry.list([&plain_targets()[..], other_targets].concat());
     entry
@@ -157,7 +158,9 @@
         for effect in &effects {
             match effect {
                 Effect::Reserve(reservation) => self.reserve(index, reservation),
-                Effect::Withdraw { ticket, number } => self.withdraw(index, *ticket, *number),
+                Effect::WithdrawReservation { ticket, number } => {
+                    self.withdraw(index, *ticket, *number)
+                }
                 _ => {}
             }
         }
@@ -178,7 +181,7 @@
         let ask = Ask {
             id: reservation_id(index, ticket, number),
             rank,
-            remaining: reservation.wait,
+            remaining: reservation.timeout,
             prefill: 0,
             decode: 0,
             prefix: Vec::new(),
@@ -248,15 +251,15 @@
                 let is_counted =
                     MEASURED_MS.contains(&arrival_ms) && self.now_ms - arrival_ms <= ON_TIME_MS;
                 self.counts.answered_on_time += u32::from(is_counted);
-                self.send(index, Event::Began { ticket });
-                self.end(index, ticket, Outcome::Done);
+                self.send(index, Event::AnswerBegan { ticket });
+                self.end(index, ticket, Outcome::Completed);
             }
         }
     }
 
     fn end(&mut self, index: usize, ticket: Ticket, outcome: Outcome) {
-        let begun = outcome == Outcome::Done;
-        self.send(index, Event::Ended { ticket, outcome, begun, events: 0 });
+        let begun = outcome == Outcome::Completed;
+        self.send(index, Event::DispatchEnded { ticket, outcome, begun, events: 0 });
     }
 
     /// Starts a call in a slot of a target.
@@ -298,7 +301,7 @@
         let now = self.entries[from].now.steady;
         let row = self.entries[from].state.row(now);
         for to in (0..ENTRY_COUNT).filter(|&to| to != from) {
-            self.send(to, Event::Heard(vec![row.clone()]));
+            self.send(to, Event::RowsReceived(vec![row.clone()]));
         }
     }
 
@@ -309,10 +312,10 @@
         self.arrival_ms.insert(self.last_ticket, self.now_ms);
         let mut call = request(self.last_ticket, "/call/");
         call.tokens = None;
-        call.patience = Some(Duration::from_millis(1_500));
-        call.draw = self.random.random();
+        call.timeout = Some(Duration::from_millis(1_500));
+        call.spread = self.random.random();
         let index = self.random.random_range(0..ENTRY_COUNT);
-        self.send(index, Event::Arrived(call));
+        self.send(index, Event::RequestReceived(call));
     }
 }
 
--- a/components/scheduler/tests/direct_relay.rs
+++ b/components/scheduler/tests/direct_relay.rs
@@ -9,7 +9,7 @@
     Process, blank, fetches, plan, process, refusal, request, route, starts, target, targets,
 };
 use scheduler::direct::{
-    Effect, Event, Note, Reason,
+    Effect, Event, LogEntry, RefusalReason,
     plan::{Plan, Repeat},
     relay::Topic,
 };
@@ -52,7 +52,7 @@
 /// Returns a process that has only a configuration, with the clock of `other`.
 fn with_plan(number: u16, other: &Process, version: u64) -> Process {
     let mut process = Process { now: other.now, ..blank(number) };
-    process.send(Event::Planned(Arc::new(routes(version))));
+    process.send(Event::ConfigurationRead(Arc::new(routes(version))));
     process
 }
 
@@ -133,7 +133,7 @@
     other.ask(&reader);
 
     assert!(!other.state.is_ready());
-    assert_eq!(refusal(&other.arrive(request(1, "/a/"))).reason, Reason::NotReady);
+    assert_eq!(refusal(&other.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
     other.confirm();
     assert_eq!(starts(&other.arrive(request(2, "/a/"))).len(), 1);
 }
@@ -181,7 +181,7 @@
 #[test]
 fn data_that_is_older_than_the_known_data_is_not_used() {
     let (reader, mut other) = pair();
-    other.send(Event::Planned(Arc::new(routes(8))));
+    other.send(Event::ConfigurationRead(Arc::new(routes(8))));
     other.confirm();
     other.list(Vec::new());
     other.list(targets(1));
@@ -217,7 +217,7 @@
     reader.pass(LONG_OUTAGE);
     // The first answer is to a read that began long before.
     let boot = reader.now.boot - SHORT_OUTAGE;
-    reader.send(Event::Confirmed { boot, version: 7, era: reader.era });
+    reader.send(Event::ConfigurationConfirmed { boot, version: 7, era: reader.era });
     reader.list(Vec::new());
     reader.pass(RELIST_END / 2);
     reader.confirm();
@@ -314,7 +314,7 @@
     let (mut reader, _) = pair();
     for _ in 0..10 {
         reader.pass(OUTAGE / 10);
-        reader.send(Event::ListAnswered);
+        reader.send(Event::TargetListAnswered);
     }
     reader.confirm();
     reader.list(Vec::new());
@@ -329,7 +329,7 @@
 fn an_answer_to_a_read_of_the_list_ends_an_outage() {
     let (mut reader, _) = pair();
     reader.pass(OUTAGE);
-    reader.send(Event::ListAnswered);
+    reader.send(Event::TargetListAnswered);
 
     reader.list(Vec::new());
 
@@ -349,7 +349,7 @@
     let effects = reader.list(vec![target(1)]);
 
     let kept = effects.iter().find_map(|effect| match effect {
-        Effect::Note(Note::Targets { kept, .. }) => Some(*kept),
+        Effect::Log(LogEntry::TargetsChanged { kept, .. }) => Some(*kept),
         _ => None,
     });
     assert_eq!(kept, Some(1));
@@ -360,7 +360,7 @@
 fn the_view_of_a_dispatch_has_the_time_since_the_platform_last_answered_a_read_of_the_list() {
     let mut process = process(routes(7), targets(1));
     assert_eq!(process.state.list_age(process.now.steady), None);
-    process.send(Event::ListAnswered);
+    process.send(Event::TargetListAnswered);
     process.pass(SHORT_OUTAGE);
 
     process.arrive(request(1, "/open/"));
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -13,7 +13,7 @@
     targets,
 };
 use scheduler::direct::{
-    self, Effect, Event, Note, Outcome, Reason, Target,
+    self, Effect, Event, LogEntry, Outcome, RefusalReason, Target,
     peers::Busy,
     plan::Repeat,
     relay::{News, Topic},
@@ -48,7 +48,7 @@
 
     // Two of the waiting requests take the slots of the new incarnation.
     assert_eq!(starts(&effects).len(), 2);
-    let is_restart = |effect: &Effect| matches!(effect, Effect::Note(Note::Restarted(name)) if name == "target-1");
+    let is_restart = |effect: &Effect| matches!(effect, Effect::Log(LogEntry::Restarted(name)) if name == "target-1");
     assert!(effects.iter().any(is_restart));
 }
 
@@ -59,7 +59,7 @@
     process.list(vec![restarted(1, 2)]);
     assert_eq!(dispatched_at_once(&mut process, 10), 2);
 
-    let effects = process.end(1, Outcome::Done);
+    let effects = process.end(1, Outcome::Completed);
 
     assert!(starts(&effects).is_empty());
 }
@@ -71,10 +71,10 @@
         let dispatch = start(&process.arrive(request(ticket, "/a/")));
         let is_slow = dispatch.target == "target-0";
         process.pass(Duration::from_millis(if is_slow { 200 } else { 1 }));
-        process.send(Event::Began { ticket });
-        process.end(ticket, if is_slow { Outcome::Unreached } else { Outcome::Done });
+        process.send(Event::AnswerBegan { ticket });
+        process.end(ticket, if is_slow { Outcome::Unreachable } else { Outcome::Completed });
         // A request that couldn't be sent was dispatched again to the other target.
-        process.end(ticket, Outcome::Done);
+        process.end(ticket, Outcome::Completed);
     }
     assert_eq!(start(&process.arrive(request(20, "/a/"))).target, "target-1");
 
@@ -87,7 +87,7 @@
 fn a_probe_of_an_earlier_incarnation_does_not_affect_the_last_one() {
     let mut process = serving_process(vec![target(1)]);
     process.arrive(request(1, "/a/"));
-    process.end(1, Outcome::Lost { crashed: true });
+    process.end(1, Outcome::Incomplete { crashed: true });
     process.list(vec![restarted(1, 2)]);
 
     process.send(Event::Probed { target: "target-1".into(), reached: false });
@@ -100,7 +100,7 @@
     let mut process = serving_process(vec![restarted(1, 2)]);
     process.arrive(request(1, "/a/"));
 
-    process.list(vec![Target { ready: false, ..restarted(1, 1) }]);
+    process.list(vec![Target { is_ready: false, ..restarted(1, 1) }]);
 
     assert_eq!(dispatched_at_once(&mut process, 10) as u64, TARGET_SLOTS - 1);
 }
@@ -127,7 +127,7 @@
     let busy = Busy { target: "target-1".into(), incarnation: 1, requests: 2, unread: 0 };
     row.running = vec![busy];
 
-    process.send(Event::Heard(vec![row]));
+    process.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(dispatched_at_once(&mut process, 10) as u64, TARGET_SLOTS);
 }
@@ -141,12 +141,12 @@
     process.pass(Duration::from_secs(1));
     for ticket in 1..=2 {
         assert_eq!(starts(&process.arrive(poison(ticket))).len(), 1);
-        process.end(ticket, Outcome::Lost { crashed: true });
+        process.end(ticket, Outcome::Incomplete { crashed: true });
         process.list(vec![restarted(1, 1 + ticket)]);
         process.pass(Duration::from_secs(1));
     }
 
     let effects = process.arrive(poison(3));
 
-    assert_eq!(refusal(&effects).reason, Reason::Quarantined);
+    assert_eq!(refusal(&effects).reason, RefusalReason::Quarantined);
 }
--- a/components/scheduler/tests/direct_resumed.rs
+++ b/components/scheduler/tests/direct_resumed.rs
@@ -10,7 +10,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// Result of a dispatch whose answer ended incomplete without a sign that the target crashed.
-const BROKEN_OFF: Outcome = Outcome::Lost { crashed: false };
+const BROKEN_OFF: Outcome = Outcome::Incomplete { crashed: false };
 
 /// Returns a process with `target_count` targets and a retry budget that isn't empty.
 fn entry_process(target_count: u16) -> Process {
@@ -28,12 +28,12 @@
 /// Ends the dispatch of a stream after a part of the stream was passed to the caller.
 fn end_begun_stream(entry: &mut Process, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
     let events = if outcome.may_have_run() { 3 } else { 0 };
-    entry.send(Event::Ended { ticket, outcome, begun: true, events })
+    entry.send(Event::DispatchEnded { ticket, outcome, begun: true, events })
 }
 
 /// Guards against streams that end early since no target has a free slot, while their callers still wait.
 #[test_case(&[BROKEN_OFF]; "its target broke the connection off")]
-#[test_case(&[BROKEN_OFF, Outcome::Unreached]; "the next target was unreachable")]
+#[test_case(&[BROKEN_OFF, Outcome::Unreachable]; "the next target was unreachable")]
 #[test_case(&[BROKEN_OFF, Outcome::Rejected]; "the next target rejected it")]
 #[test_case(&[BROKEN_OFF, Outcome::Replaced]; "the next target was replaced")]
 fn a_broken_off_stream_waits_for_another_target(outcomes: &[Outcome]) {
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -14,7 +14,7 @@
 use direct_support::{Process, address, blank, plan, request, route, starts, target};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::direct::{
-    Effect, Event, Note, Outcome, Target, Ticket,
+    Effect, Event, LogEntry, Outcome, Target, Ticket,
     peers::Row,
     plan::Repeat,
     relay::Position,
@@ -110,7 +110,7 @@
         process.now = clock.now;
     }
     let routes = vec![route("/a/", Repeat::Safe), route("/b/", Repeat::Never)];
-    process.send(Event::Planned(plan(1, routes, None).into()));
+    process.send(Event::ConfigurationRead(plan(1, routes, None).into()));
     process.confirm();
     process.list(targets("v1", 0));
     process
@@ -148,17 +148,17 @@
     /// Records the rollout actions among the effects of a process, and runs its dispatches.
     fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in &effects {
-            if let Effect::Note(Note::Rollout(step)) = effect {
+            if let Effect::Log(LogEntry::Rollout(step)) = effect {
                 self.actions.push(step.action);
             }
         }
         for start in starts(&effects) {
             let is_ordered = start.address.port() >= 1_000 + TARGETS_PER_VERSION;
-            let is_first_route = start.repeatable;
+            let is_first_route = start.is_repeatable;
             let is_bad = self.step >= self.behaviour.from_step
                 && !(self.behaviour.is_one_route_only && is_first_route);
             let mut held_steps: f64 = self.random.random_range(15.0..35.0);
-            let mut outcome = Outcome::Done;
+            let mut outcome = Outcome::Completed;
             self.dispatched += 1;
             if is_ordered {
                 self.to_ordered += 1;
@@ -193,9 +193,9 @@
         let first_later = (self.step + 1, 0, 0);
         let later = self.in_flight.split_off(&first_later);
         for ((_, index, ticket), outcome) in std::mem::replace(&mut self.in_flight, later) {
-            self.send(index, Event::Began { ticket });
+            self.send(index, Event::AnswerBegan { ticket });
             let events = 0;
-            self.send(index, Event::Ended { ticket, outcome, begun: false, events });
+            self.send(index, Event::DispatchEnded { ticket, outcome, begun: false, events });
         }
         let arriving = REQUESTS_PER_STEP as usize
             + usize::from(self.random.random_bool(REQUESTS_PER_STEP.fract()));
@@ -203,9 +203,9 @@
             self.last_ticket += 1;
             let path = if self.random.random_bool(0.7) { "/a/" } else { "/b/" };
             let mut arrived = request(self.last_ticket, path);
-            arrived.draw = self.random.random();
+            arrived.spread = self.random.random();
             let index = self.random.random_range(0..self.processes.len());
-            self.send(index, Event::Arrived(arrived));
+            self.send(index, Event::RequestReceived(arrived));
         }
         if self.step.is_multiple_of(10) {
             self.exchange_rows();
@@ -234,11 +234,11 @@
         if self.random.random_bool(self.loss_rate) {
             self.delayed_rows.push((to, row.clone()));
         }
-        self.send(to, Event::Heard(vec![row.clone()]));
+        self.send(to, Event::RowsReceived(vec![row.clone()]));
         if self.random.random_bool(self.loss_rate) && !self.delayed_rows.is_empty() {
             let position = self.random.random_range(0..self.delayed_rows.len());
             let (to, row) = self.delayed_rows.swap_remove(position);
-            self.send(to, Event::Heard(vec![row]));
+            self.send(to, Event::RowsReceived(vec![row]));
         }
     }
 
@@ -249,7 +249,7 @@
         self.processes[index] = started_process(index, Some(&clock));
         self.in_flight.retain(|(_, process, _), _| *process != index);
         self.processes[index].list(all_targets());
-        self.processes[index].send(Event::Ordered(order()));
+        self.processes[index].send(Event::RolloutOrdered(order()));
     }
 
     /// Confirms the configuration to each process that isn't isolated, stores its reports at the platform
@@ -260,7 +260,7 @@
                 continue;
             }
             let (boot, era) = (self.processes[index].now.boot, self.processes[index].era);
-            self.send(index, Event::Confirmed { boot, version: 1, era });
+            self.send(index, Event::ConfigurationConfirmed { boot, version: 1, era });
             for report in self.processes[index].state.reports() {
                 let stored = self.stored_report.as_ref();
                 let is_open = stored.is_none_or(|stored| stored.progress == Progress::Running);
@@ -275,7 +275,7 @@
                     self.stored_report = Some(report);
                 }
                 let stored = self.stored_report.clone().into_iter().collect();
-                self.send(index, Event::Reported(stored));
+                self.send(index, Event::RolloutsReported(stored));
             }
         }
     }
@@ -292,7 +292,7 @@
         for index in 0..self.processes.len() {
             let effects = self.processes[index].list(all_targets());
             self.apply(index, effects);
-            self.send(index, Event::Ordered(order()));
+            self.send(index, Event::RolloutOrdered(order()));
         }
         self.step = 0;
         self.in_flight = std::mem::take(&mut self.in_flight)
@@ -458,7 +458,7 @@
     for ticket in 0..200 {
         process.arrive(request(ticket, "/a/"));
     }
-    process.send(Event::Ordered(order()));
+    process.send(Event::RolloutOrdered(order()));
     for ticket in 200..400 {
         process.arrive(request(ticket, "/a/"));
     }
@@ -472,10 +472,10 @@
 fn an_order_is_learnt_from_the_row_of_a_peer() {
     let mut first = started_process(0, None);
     let mut second = started_process(1, None);
-    first.send(Event::Ordered(order()));
+    first.send(Event::RolloutOrdered(order()));
 
     let row = first.state.row(first.now.steady);
-    second.send(Event::Heard(vec![row]));
+    second.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(second.state.reports()[0].target, "v2");
 }
@@ -485,7 +485,7 @@
 fn a_stored_completion_ends_the_rollout_of_a_process() {
     let mut process = started_process(0, None);
     process.list(all_targets());
-    process.send(Event::Ordered(order()));
+    process.send(Event::RolloutOrdered(order()));
     let stored = Report {
         pool: "pool".into(),
         target: "v2".into(),
@@ -493,7 +493,7 @@
         renews: false,
     };
 
-    process.send(Event::Reported(vec![stored]));
+    process.send(Event::RolloutsReported(vec![stored]));
 
     let started = starts(&process.arrive(request(1, "/a/")));
     assert!(started[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
@@ -513,15 +513,15 @@
         renews: false,
     };
     for process in [&mut first, &mut second] {
-        process.send(Event::Ordered(order()));
-        process.send(Event::Reported(vec![stored.clone()]));
+        process.send(Event::RolloutOrdered(order()));
+        process.send(Event::RolloutsReported(vec![stored.clone()]));
         assert!(process.state.reports().is_empty());
     }
 
     first.era += 1;
     first.confirm();
     let row = second.state.row(second.now.steady);
-    first.send(Event::Heard(vec![row]));
+    first.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(first.state.reports(), [stored]);
 }
@@ -530,10 +530,10 @@
 #[test]
 fn a_withdrawn_order_is_not_reported() {
     let mut process = started_process(0, None);
-    process.send(Event::Ordered(order()));
+    process.send(Event::RolloutOrdered(order()));
 
     let position = Position { era: 1, offset: 10 };
-    process.send(Event::Withdrawn { pool: "pool".into(), position });
+    process.send(Event::RolloutWithdrawn { pool: "pool".into(), position });
 
     assert!(process.state.reports().is_empty());
     process.era += 1;
@@ -547,7 +547,7 @@
     let mut world = world(GOOD, 1);
     world.run(100);
     for index in 0..PROCESSES {
-        world.send(index, Event::Ordered(order()));
+        world.send(index, Event::RolloutOrdered(order()));
     }
     world.step = 0;
 
--- a/components/scheduler/tests/direct_silent.rs
+++ b/components/scheduler/tests/direct_silent.rs
@@ -36,13 +36,13 @@
 
 /// Reports that the target of a request has sent nothing for its timeout.
 fn stall(entry: &mut Process, ticket: Ticket, begun: bool) -> Vec<Effect> {
-    entry.send(Event::Quiet { ticket, begun })
+    entry.send(Event::TargetUnresponsive { ticket, begun })
 }
 
 /// Returns the targets to which requests are to move.
 fn move_destinations(effects: &[Effect]) -> Vec<String> {
     let destinations = effects.iter().filter_map(|effect| match effect {
-        Effect::Leave { target, .. } => Some(target.clone()),
+        Effect::CancelDispatch { target, .. } => Some(target.clone()),
         _ => None,
     });
     destinations.collect()
@@ -84,8 +84,8 @@
     });
 
     let after_free_slot =
-        entry.end(at_other_target.expect("each target runs requests"), Outcome::Done);
-    let moved = entry.end(1, Outcome::Silent);
+        entry.end(at_other_target.expect("each target runs requests"), Outcome::Completed);
+    let moved = entry.end(1, Outcome::Unresponsive);
 
     assert_eq!(move_destinations(&after_free_slot).len(), 1);
     assert!(starts(&after_free_slot).is_empty(), "two targets would run the request at once");
@@ -100,10 +100,10 @@
     let first = start(&entry.arrive(request(1, "/resume/"))).target;
     dispatch_requests(&mut entry, 2..5);
     stall(&mut entry, 1, true);
-    entry.send(Event::Spoke { ticket: 1 });
+    entry.send(Event::TargetResumed { ticket: 1 });
 
     let mut effects: Vec<Effect> =
-        (2..5).flat_map(|ticket| entry.end(ticket, Outcome::Done)).collect();
+        (2..5).flat_map(|ticket| entry.end(ticket, Outcome::Completed)).collect();
     effects.extend(entry.pass(100 * MILLISECOND));
 
     assert!(move_destinations(&effects).is_empty(), "{effects:?}");
@@ -117,7 +117,7 @@
     entry.arrive(request(1, "/resume/"));
     let move_effects = stall(&mut entry, 1, true);
 
-    let effects = entry.end(1, Outcome::Done);
+    let effects = entry.end(1, Outcome::Completed);
     // A target that stalled gets no requests for 250 ms.
     entry.pass(300 * MILLISECOND);
     dispatch_requests(&mut entry, 2..6);
@@ -162,7 +162,7 @@
     entry.arrive(request(1, "/resume/"));
     for _ in 0..200 {
         stall(&mut entry, 1, true);
-        entry.send(Event::Spoke { ticket: 1 });
+        entry.send(Event::TargetResumed { ticket: 1 });
     }
     let two_targets = (0..2).map(|number| Target { slots: 2, ..direct_support::target(number) });
     entry.list(two_targets.collect());
@@ -175,7 +175,7 @@
 /// Returns targets that have an agent each.
 fn targets_with_agents(count: u16) -> Vec<Target> {
     let agent = |number| Some(direct_support::address(2_000 + number));
-    let target = |number| Target { agent: agent(number), ..direct_support::target(number) };
+    let target = |number| Target { agent_address: agent(number), ..direct_support::target(number) };
     (0..count).map(target).collect()
 }
 
@@ -196,7 +196,7 @@
 /// Returns the numbers of the reservations that are withdrawn.
 fn withdrawn(effects: &[Effect]) -> Vec<u32> {
     let withdrawn = effects.iter().filter_map(|effect| match effect {
-        Effect::Withdraw { number, .. } => Some(*number),
+        Effect::WithdrawReservation { number, .. } => Some(*number),
         _ => None,
     });
     withdrawn.collect()
@@ -213,7 +213,7 @@
     let search_effects = stall(&mut entry, 1, true);
     let (number, target) = reservations(&search_effects)[0].clone();
     let granted = grant(&mut entry, 1, number);
-    let moved = entry.end(1, Outcome::Silent);
+    let moved = entry.end(1, Outcome::Unresponsive);
 
     assert!(reservations(&search_effects).iter().all(|(_, target)| *target != first));
     assert!(!withdrawn(&granted).contains(&1) && !withdrawn(&granted).contains(&number));
@@ -222,7 +222,7 @@
 }
 
 /// Guards against slots that agents keep for a request that stays at its target.
-#[test_case(|entry: &mut Process| entry.send(Event::Spoke { ticket: 1 }); "its target sends data")]
+#[test_case(|entry: &mut Process| entry.send(Event::TargetResumed { ticket: 1 }); "its target sends data")]
 #[test_case(|entry: &mut Process| entry.pass(Duration::from_secs(5)); "its deadline has passed")]
 fn a_request_that_stays_at_its_target_withdraws_its_reservations(
     stay: fn(&mut Process) -> Vec<Effect>,
@@ -252,7 +252,7 @@
     let number = reservations(&search_effects)[0].0;
     grant(&mut entry, 1, number);
 
-    let effects = entry.send(Event::Left { ticket: 1, events: 3 });
+    let effects = entry.send(Event::CallerDisconnected { ticket: 1, events: 3 });
 
     assert_eq!(withdrawn(&effects), [1, number]);
 }
@@ -269,7 +269,7 @@
     grant(&mut entry, 1, number);
     entry.list(targets_with_agents(2).into_iter().filter(|listed| listed.name != target).collect());
 
-    let moved = entry.end(1, Outcome::Silent);
+    let moved = entry.end(1, Outcome::Unresponsive);
 
     assert!(starts(&moved).is_empty() && refusals(&moved).is_empty(), "{moved:?}");
     assert_eq!(withdrawn(&moved), [1, number]);
@@ -284,7 +284,7 @@
     grant(&mut entry, 1, 1);
     let search_effects = stall(&mut entry, 1, true);
 
-    let broken = entry.end(1, Outcome::Lost { crashed: true });
+    let broken = entry.end(1, Outcome::Incomplete { crashed: true });
     let granted = grant(&mut entry, 1, reservations(&search_effects)[0].0);
 
     assert!(refusals(&broken).is_empty() && reservations(&broken).is_empty(), "{broken:?}");
@@ -299,10 +299,11 @@
     let mut entry = entry(targets(2));
     entry.arrive(request(1, "/safe-stream/"));
     let move_effects = stall(&mut entry, 1, false);
-    entry.send(Event::Spoke { ticket: 1 });
-    entry.send(Event::Began { ticket: 1 });
+    entry.send(Event::TargetResumed { ticket: 1 });
+    entry.send(Event::AnswerBegan { ticket: 1 });
 
-    let ended = Event::Ended { ticket: 1, outcome: Outcome::Silent, begun: true, events: 1 };
+    let ended =
+        Event::DispatchEnded { ticket: 1, outcome: Outcome::Unresponsive, begun: true, events: 1 };
     let effects = entry.send(ended);
 
     assert_eq!(move_destinations(&move_effects).len(), 1);
@@ -323,7 +324,8 @@
     }
     let mut effects = entry.end(1, Outcome::Failed);
     let mut passed = Duration::ZERO;
-    let is_answer = |effect: &Effect| matches!(effect, Effect::Pass { .. } | Effect::Refuse { .. });
+    let is_answer =
+        |effect: &Effect| matches!(effect, Effect::PassFailure { .. } | Effect::Refuse { .. });
     while !effects.iter().any(is_answer) && passed < Duration::from_secs(6) {
         passed += 100 * MILLISECOND;
         effects.extend(entry.pass(100 * MILLISECOND));
@@ -353,7 +355,7 @@
         .cloned()
         .expect("the request is reserved at another target");
     let move_effects = grant(&mut entry, 1, number);
-    entry.send(Event::Spoke { ticket: 1 });
+    entry.send(Event::TargetResumed { ticket: 1 });
 
     let mut effects = Vec::new();
     for _ in 0..60 {
@@ -368,10 +370,10 @@
 /// Guards against requests that are refused before their deadline when they have moved from a stalled target
 /// and the next target doesn't take them (issue 42): the dispatch that was ended for the move might
 /// still have answered the caller, who waits for 5 s.
-#[test_case("/safe/", false, Outcome::Unreached; "an idempotent request and an unreachable target")]
+#[test_case("/safe/", false, Outcome::Unreachable; "an idempotent request and an unreachable target")]
 #[test_case("/safe/", false, Outcome::Rejected; "an idempotent request and a rejection")]
-#[test_case("/resume/", false, Outcome::Unreached; "a stream and an unreachable target")]
-#[test_case("/resume/", true, Outcome::Unreached; "a begun stream and an unreachable target")]
+#[test_case("/resume/", false, Outcome::Unreachable; "a stream and an unreachable target")]
+#[test_case("/resume/", true, Outcome::Unreachable; "a begun stream and an unreachable target")]
 #[test_case("/resume/", true, Outcome::Rejected; "a begun stream and a rejection")]
 fn a_request_that_moved_from_a_stalled_target_waits_until_its_deadline(
     path: &str,
@@ -381,8 +383,8 @@
     let mut entry = entry(targets(2));
     let stalled = start(&entry.arrive(request(1, path))).target;
     let move_effects = stall(&mut entry, 1, begun);
-    let ended = |outcome| Event::Ended { ticket: 1, outcome, begun, events: 0 };
-    let moved = entry.send(ended(Outcome::Silent));
+    let ended = |outcome| Event::DispatchEnded { ticket: 1, outcome, begun, events: 0 };
+    let moved = entry.send(ended(Outcome::Unresponsive));
     let mut effects = entry.send(ended(next_outcome));
     // The platform lists only the stalled target any more.
     let listed = targets(2).into_iter().filter(|target| target.name == stalled);
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use scheduler::direct::{
-    self, Effect, Event, Now, Outcome, Refusal, Request, Reservation, Settings, Start, State,
+    self, Dispatch, Effect, Event, Now, Outcome, Refusal, Request, Reservation, Settings, State,
     Target, Ticket, Tokens,
     allowance::Tolerance,
     budget::Rule,
@@ -67,7 +67,7 @@
 /// Returns a process with a confirmed configuration and a list of targets.
 pub fn process(plan: Plan, targets: Vec<Target>) -> Process {
     let mut process = blank(1);
-    process.send(Event::Planned(Arc::new(plan)));
+    process.send(Event::ConfigurationRead(Arc::new(plan)));
     process.confirm();
     process.list(targets);
     // The first read counts as the end of an outage, after which targets that vanish from the list are used
@@ -86,7 +86,7 @@
     /// Confirms that the configuration which the process has is the newest one.
     pub fn confirm(&mut self) -> Vec<Effect> {
         let (boot, version) = (self.now.boot, self.state.known().plan);
-        self.send(Event::Confirmed { boot, version, era: self.era })
+        self.send(Event::ConfigurationConfirmed { boot, version, era: self.era })
     }
 
     /// Replaces the list of targets, at the next position of the era.
@@ -94,14 +94,14 @@
         let known = self.state.known().targets;
         let offset = if known.era < self.era { 0 } else { known.offset + 1 };
         let position = Position { era: self.era, offset };
-        self.send(Event::Listed(Listing { targets, position }))
+        self.send(Event::TargetsListed(Listing { targets, position }))
     }
 
     /// Receives the offer of a peer. Returns the topics to fetch from that peer, and all effects.
     pub fn hear_offer(&mut self, other: &Process) -> (Vec<Topic>, Vec<Effect>) {
         let offer = other.state.offer(other.now);
         let peer = other.address;
-        let effects = self.send(Event::Offered { peer, offer });
+        let effects = self.send(Event::PeerOffered { peer, offer });
         let fetched = fetches(&effects).into_iter().filter(|&(from, _)| from == peer);
         let topics = fetched.map(|(_, topic)| topic).collect();
         (topics, effects)
@@ -129,12 +129,12 @@
 
     /// Handles the arrival of a request.
     pub fn arrive(&mut self, request: Request) -> Vec<Effect> {
-        self.send(Event::Arrived(request))
+        self.send(Event::RequestReceived(request))
     }
 
     /// Ends the dispatch of a request, of whose answer nothing went to the caller.
     pub fn end(&mut self, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
-        self.send(Event::Ended { ticket, outcome, begun: false, events: 0 })
+        self.send(Event::DispatchEnded { ticket, outcome, begun: false, events: 0 })
     }
 }
 
@@ -177,10 +177,10 @@
         incarnation: 1,
         pool: "pool".into(),
         address: address(1_000 + number),
-        agent: None,
+        agent_address: None,
         zone: "north".into(),
         slots: 2,
-        ready: true,
+        is_ready: true,
         version: "v1".into(),
     }
 }
@@ -197,20 +197,20 @@
         id: format!("request-{ticket}"),
         host: "host".into(),
         path: path.into(),
-        key: Some("key".into()),
-        patience: Some(Duration::from_secs(5)),
-        tokens: Some(Tokens { prompt: 100, output: 10 }),
-        expected: None,
+        api_key: Some("key".into()),
+        timeout: Some(Duration::from_secs(5)),
+        tokens: Some(Tokens { prompt: 100, max_output: 10 }),
+        expected_tokens: None,
         fingerprint: [ticket as u8; 16],
-        draw: ticket,
+        spread: ticket,
     }
 }
 
-/// Returns a request for `/a/` whose caller expects an answer of `tokens` tokens, with a pseudo-random `draw`
-/// instead of the ticket.
+/// Returns a request for `/a/` whose caller expects an answer of `tokens` tokens, with a pseudo-random
+/// `spread` instead of the ticket.
 pub fn expecting(ticket: Ticket, tokens: u32) -> Request {
     let spread = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Request { expected: Some(tokens), draw: spread, ..request(ticket, "/a/") }
+    Request { expected_tokens: Some(tokens), spread, ..request(ticket, "/a/") }
 }
 
 /// Returns the reservations among the effects.
@@ -223,9 +223,9 @@
 }
 
 /// Returns the dispatches among the effects.
-pub fn starts(effects: &[Effect]) -> Vec<Start> {
+pub fn starts(effects: &[Effect]) -> Vec<Dispatch> {
     let starts = effects.iter().filter_map(|effect| match effect {
-        Effect::Start(start) => Some(start.clone()),
+        Effect::Dispatch(start) => Some(start.clone()),
         _ => None,
     });
     starts.collect()
@@ -257,7 +257,7 @@
 }
 
 /// Returns the dispatch among the effects; panics unless there is exactly one.
-pub fn start(effects: &[Effect]) -> Start {
+pub fn start(effects: &[Effect]) -> Dispatch {
     let starts = starts(effects);
     assert_eq!(starts.len(), 1, "{effects:?}");
     starts[0].clone()
