--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -12,7 +12,7 @@
 use scheduler::{
     agent::{self, Policy, Room, State},
     direct::{
-        self, Effect, Event, Lapse, Now, Outcome, Request, Reservation, Target, Ticket,
+        self, DenialReason, Effect, Event, Now, Outcome, Request, Reservation, Target, Ticket,
         peers::period,
         plan::{Repeat, Route},
     },
@@ -228,12 +228,12 @@
 pub fn targets(site: Site) -> Vec<Target> {
     let agent_address = |n| (site.agents == Agents::Beside).then(|| address(2_000 + n));
     let mut targets: Vec<Target> = (0..site.targets)
-        .map(|n| Target { slots: site.slots, agent: agent_address(n), ..target(n) })
+        .map(|n| Target { slots: site.slots, agent_address: agent_address(n), ..target(n) })
         .collect();
     if site.agents == Agents::Others {
         targets.extend((500..503).map(|n| Target {
             pool: "models".into(),
-            agent: Some(address(2_000 + n)),
+            agent_address: Some(address(2_000 + n)),
             ..target(n)
         }));
     }
@@ -257,7 +257,7 @@
     settings.incarnation = u64::from(incarnation) + 1;
     let state = direct::open(now.steady, settings);
     let mut entry = Process { state, now, ..blank(number as u16 + 1) };
-    entry.send(Event::Planned(plan(1, routes, None).into()));
+    entry.send(Event::ConfigurationRead(plan(1, routes, None).into()));
     entry.confirm();
     entry.list(targets(site));
     entry
@@ -351,7 +351,9 @@
         for effect in &effects {
             match effect {
                 Effect::Reserve(reservation) => self.reserve(index, reservation),
-                Effect::Withdraw { ticket, number } => self.withdraw((index, *ticket, *number)),
+                Effect::WithdrawReservation { ticket, number } => {
+                    self.withdraw((index, *ticket, *number))
+                }
                 _ => {}
             }
         }
@@ -391,9 +393,9 @@
         let ask = Ask {
             id: reservation_id(key),
             rank,
-            remaining: reservation.wait + reservation.boost,
+            remaining: reservation.timeout + reservation.recency_boost,
             prefill: reservation.tokens.prompt,
-            decode: reservation.tokens.output,
+            decode: reservation.tokens.max_output,
             prefix: Vec::new(),
             offset: 0,
             body: Default::default(),
@@ -469,27 +471,31 @@
                 let states_limit = (NAMED..LIFTED).contains(&self.at);
                 if let Some(&per_second) = self.limits.get(&to).filter(|_| states_limit) {
                     self.limit_forwarded.entry((from, to)).or_insert(self.at);
-                    self.send(from, Event::Limited { ticket, per_second });
+                    self.send(from, Event::RateLimitStated { ticket, per_second });
                 }
                 self.answered += 1;
-                self.send(from, Event::Began { ticket });
+                self.send(from, Event::AnswerBegan { ticket });
                 let sized = self.sized.get_mut(&ticket);
                 let is_expired = sized.as_ref().is_some_and(|sized| sized.deadline <= self.at);
                 sized.into_iter().for_each(|sized| sized.served = !is_expired);
-                let outcome = if is_expired { Outcome::Expired } else { Outcome::Done };
-                self.send(from, Event::Ended { ticket, outcome, begun: true, events: 0 });
+                let outcome =
+                    if is_expired { Outcome::DeadlineExceeded } else { Outcome::Completed };
+                self.send(from, Event::DispatchEnded { ticket, outcome, begun: true, events: 0 });
             }
             Message::Granted { key, load } => self.deliver_grant(key, load),
             Message::AgentAway { key: (index, ticket, number), incarnation }
                 if self.incarnations[index] == incarnation =>
             {
-                self.send(index, Event::Denied { ticket, number, lapse: Lapse::Away });
+                self.send(
+                    index,
+                    Event::Denied { ticket, number, reason: DenialReason::AgentUnreachable },
+                );
             }
             Message::Rejected { from, incarnation, ticket }
                 if self.incarnations[from] == incarnation =>
             {
                 let outcome = Outcome::Rejected;
-                self.send(from, Event::Ended { ticket, outcome, begun: false, events: 0 });
+                self.send(from, Event::DispatchEnded { ticket, outcome, begun: false, events: 0 });
             }
             Message::Answered { .. } | Message::AgentAway { .. } | Message::Rejected { .. } => {}
         }
@@ -595,7 +601,7 @@
         let now = self.entries[from].now.steady;
         let row = self.entries[from].state.row(now);
         for to in (0..self.site.entries).filter(|&to| to != from) {
-            self.send(to, Event::Heard(vec![row.clone()]));
+            self.send(to, Event::RowsReceived(vec![row.clone()]));
         }
     }
 
@@ -608,9 +614,9 @@
             Some(lengths) => self.draw_sized_request(lengths),
             None => request(self.last_ticket, "/call/"),
         };
-        request.draw = self.random.random();
+        request.spread = self.random.random();
         let index = self.random.random_range(0..self.site.entries);
-        self.send(index, Event::Arrived(request));
+        self.send(index, Event::RequestReceived(request));
     }
 
     /// Draws the kind, the tokens and the expected tokens of a request.
@@ -628,7 +634,11 @@
         self.sized.insert(self.last_ticket, Sized { kind: index, tokens, deadline, served: false });
         let patience = Some(kind.patience);
         let expected = Some(expected.max(1.0) as u32);
-        Request { patience, expected, ..request(self.last_ticket, kind.path) }
+        Request {
+            timeout: patience,
+            expected_tokens: expected,
+            ..request(self.last_ticket, kind.path)
+        }
     }
 
     /// Returns the fraction of a kind's requests that were served, among those whose answer length lies in a
--- a/components/scheduler/tests/direct_target_limits.rs
+++ b/components/scheduler/tests/direct_target_limits.rs
@@ -134,7 +134,7 @@
 fn a_restart_of_a_target_lifts_its_limit() {
     let mut entry = entry(0, 0, NO_AGENTS, blank(1).now);
     let start = starts(&entry.arrive(request(1, "/call/"))).remove(0);
-    entry.send(Event::Limited { ticket: 1, per_second: 1.0 });
+    entry.send(Event::RateLimitStated { ticket: 1, per_second: 1.0 });
     let limited = entry.state.limited_targets();
 
     let restarted = targets(NO_AGENTS).into_iter().map(|target| {
@@ -156,17 +156,17 @@
         let mut entry = entry(number, 0, site, now);
         let mut other = self::entry(1 - number, 0, site, now);
         entry.arrive(request(1, "/call/"));
-        entry.send(Event::Limited { ticket: 1, per_second: 10.0 });
+        entry.send(Event::RateLimitStated { ticket: 1, per_second: 10.0 });
         for second in 1..=10 {
             entry.pass(Duration::from_secs(1));
             other.pass(Duration::from_secs(1));
             other.confirm();
             entry.confirm();
-            entry.send(Event::Heard(vec![other.state.row(other.now.steady)]));
+            entry.send(Event::RowsReceived(vec![other.state.row(other.now.steady)]));
             let effects = entry.arrive(request(1 + second, "/call/"));
             if !starts(&effects).is_empty() {
                 turns.push((number, second));
-                entry.end(1 + second, Outcome::Lost { crashed: false });
+                entry.end(1 + second, Outcome::Incomplete { crashed: false });
             }
         }
     }
