--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -106,7 +106,7 @@
     let (head, body) = request.into_parts();
     let ask = (context.dialect.read)(&head)
         .map_err(|message| plain(StatusCode::BAD_REQUEST, &message))?;
-    let most = context.control.plan().map_or(BODY_MAX, |plan| plan.body_max);
+    let most = context.control.plan().map_or(BODY_MAX, |plan| plan.max_body_bytes);
     let body = match timeout(BODY_WAIT, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -19,7 +19,7 @@
 use scheduler::direct::{
     self, Dispatch, Effect, Event, Now, Outcome, Refusal, Registration, Request, State, Ticket,
     peers::{self, Row},
-    plan::Plan,
+    plan::Configuration,
     relay::Topic,
     rollout::Report,
 };
@@ -89,7 +89,7 @@
     /// Other entry processes that may be alive.
     pub peers: Vec<SocketAddr>,
     /// The configuration in force.
-    pub plan: Option<Arc<Plan>>,
+    pub plan: Option<Arc<Configuration>>,
     /// What the platform's service is to be told of roll-outs.
     pub reports: Vec<Report>,
     /// Number of this process among those that may tell it.
@@ -243,7 +243,7 @@
     }
 
     /// The configuration in force.
-    pub fn plan(&self) -> Option<Arc<Plan>> {
+    pub fn plan(&self) -> Option<Arc<Configuration>> {
         self.status.borrow().plan.clone()
     }
 }
@@ -354,7 +354,7 @@
         let Some(id) = self.ids.get(&ticket) else {
             return;
         };
-        let view = self.state.view(ticket, Instant::now());
+        let view = self.state.dispatch_view(ticket, Instant::now());
         let after_ms = view.map(|view| view.waited.as_millis() as u64);
         info!(request = id, dispatched = view.is_some(), events, after_ms, "its caller left");
     }
@@ -363,27 +363,31 @@
     fn observe(&self, now: Instant, event: &Event) {
         match event {
             Event::AnswerBegan { ticket } => {
-                if let Some(view) = self.state.view(*ticket, now) {
+                if let Some(view) = self.state.dispatch_view(*ticket, now) {
                     self.metrics.first(view.tier, view.running_for);
                 }
             }
             Event::TargetUnresponsive { ticket, begun } => {
-                if let Some(view) = self.state.view(*ticket, now).filter(|view| !view.seeks) {
+                if let Some(view) =
+                    self.state.dispatch_view(*ticket, now).filter(|view| !view.is_seeking)
+                {
                     record::quiet(&view, *begun);
                 }
             }
             Event::TargetResumed { ticket } => {
-                if let Some(view) = self.state.view(*ticket, now).filter(|view| view.seeks) {
+                if let Some(view) =
+                    self.state.dispatch_view(*ticket, now).filter(|view| view.is_seeking)
+                {
                     record::spoke(&view);
                 }
             }
             Event::DispatchEnded { ticket, outcome, begun, events } => {
-                if let Some(view) = self.state.view(*ticket, now) {
+                if let Some(view) = self.state.dispatch_view(*ticket, now) {
                     record::ended(&view, *outcome, *begun, *events);
                     self.metrics.ended(record::name(*outcome));
                     if *outcome == Outcome::Completed {
                         self.metrics.whole(view.account, view.waited);
-                        self.metrics.sized(view.tier, view.expected, true);
+                        self.metrics.sized(view.tier, view.expected_tokens, true);
                     }
                 }
             }
@@ -446,12 +450,12 @@
         self.metrics.open.set(self.state.open_requests() as i64);
         let list_age = self.state.list_age(Instant::now());
         self.metrics.list_age.set(list_age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
-        let lonely = self.state.is_lonely(Instant::now());
+        let lonely = self.state.is_missing_peers(Instant::now());
         let peers = || self.state.peers();
-        let plan = self.state.plan_in_force();
-        let (reports, turn) = (self.state.reports(), self.state.turn());
+        let plan = self.state.configuration_in_force();
+        let (reports, turn) = (self.state.reports(), self.state.report_delay_turns());
         self.status.send_if_modified(|status| {
-            let version = |plan: Option<&Arc<Plan>>| plan.map(|plan| plan.version);
+            let version = |plan: Option<&Arc<Configuration>>| plan.map(|plan| plan.version);
             let changed = (status.ready, status.lonely) != (ready, lonely)
                 || version(status.plan.as_ref()) != version(plan)
                 || (status.turn, &status.reports) != (turn, &reports)
@@ -465,16 +469,16 @@
     }
 
     fn rows(&mut self, all: bool) -> Vec<Row> {
-        let mut rows = vec![self.state.row(Instant::now())];
+        let mut rows = vec![self.state.next_row(Instant::now())];
         if all {
-            rows.extend(self.state.rows(Instant::now()));
+            rows.extend(self.state.peer_rows(Instant::now()));
         }
         rows
     }
 
     /// Measures what every other process is told with each exchange.
     fn measure(&mut self, now: Instant) {
-        match postcard::to_stdvec(&self.state.row(now)) {
+        match postcard::to_stdvec(&self.state.next_row(now)) {
             Ok(row) => drop(self.metrics.row_bytes.set(row.len() as i64)),
             Err(error) => error!(%error, "the own row can't be packed"),
         }
@@ -489,7 +493,7 @@
         self.measure(now.steady);
         let teller = peers.partition_point(|&address| address < self.own);
         for (place, address) in peers.into_iter().enumerate() {
-            if address < self.own && self.state.hears(now.steady, address) {
+            if address < self.own && self.state.is_row_current(now.steady, address) {
                 continue;
             }
             let all = peers::tells_all(self.exchanges, teller, place);
--- a/components/gateway/src/ingress.rs
+++ b/components/gateway/src/ingress.rs
@@ -150,7 +150,7 @@
     tokio::pin!(connection);
     let mut closing = shared.closing.subscribe();
     let mut seen = 0;
-    let idle = || shared.context.control.plan().map_or(IDLE, |plan| plan.idle) + IDLE_EXTRA;
+    let idle = || shared.context.control.plan().map_or(IDLE, |plan| plan.idle_timeout) + IDLE_EXTRA;
     loop {
         tokio::select! {
             // However it ends, its request is dropped, and so given up.
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -7,7 +7,7 @@
 
 use metrics::Gateway;
 use scheduler::direct::{
-    Effect, LogEntry, Now, Outcome, Refusal, RefusalContext, RefusalReason, State, View,
+    DispatchView, Effect, LogEntry, Now, Outcome, Refusal, RefusalContext, RefusalReason, State,
     relay::Topic,
     rollout::{Action, Step},
 };
@@ -20,7 +20,7 @@
     let now = at.steady;
     match effect {
         Effect::Dispatch(dispatch) => {
-            let Some(view) = state.view(dispatch.ticket, now) else {
+            let Some(view) = state.dispatch_view(dispatch.ticket, now) else {
                 return;
             };
             info!(
@@ -31,21 +31,21 @@
                 attempt = dispatch.attempt,
                 waited_ms = view.waited.as_millis() as u64,
                 running = view.running,
-                elsewhere = view.elsewhere,
+                elsewhere = view.running_of_others,
                 limit = view.limit.map(|(per_second, _)| per_second),
                 limit_age_ms = view.limit.map(|(_, age)| millis(age)),
-                plan = view.plan,
+                plan = view.configuration_version,
                 list_age_ms = view.list_age.map(millis),
                 units = view.units,
-                expected = view.expected,
-                token_us = view.pace.map(micros),
-                patience_ms = millis(view.patience),
+                expected = view.expected_tokens,
+                token_us = view.token_ms.map(micros),
+                patience_ms = millis(view.timeout),
                 left_ms = dispatch.deadline.saturating_duration_since(now).as_millis() as u64,
                 "dispatched"
             );
         }
         Effect::CancelDispatch { ticket, target } => {
-            if let Some(view) = state.view(*ticket, now) {
+            if let Some(view) = state.dispatch_view(*ticket, now) {
                 let after_ms = millis(view.running_for);
                 info!(request = view.id, to = target, after_ms, "leaves its silent target");
             }
@@ -65,7 +65,9 @@
 pub fn count(state: &State, now: Instant, metrics: &Gateway, effect: &Effect) {
     match effect {
         Effect::Dispatch(dispatch) => {
-            if let Some(view) = state.view(dispatch.ticket, now).filter(|view| view.attempt == 1) {
+            if let Some(view) =
+                state.dispatch_view(dispatch.ticket, now).filter(|view| view.attempt == 1)
+            {
                 metrics.waited(view.tier, view.waited);
             }
         }
@@ -109,7 +111,7 @@
 }
 
 /// Logs that a target is silent while its answer is waited for.
-pub fn quiet(view: &View<'_>, begun: bool) {
+pub fn quiet(view: &DispatchView<'_>, begun: bool) {
     info!(
         request = view.id,
         begun,
@@ -120,20 +122,20 @@
 }
 
 /// Logs that a silent target goes on.
-pub fn spoke(view: &View<'_>) {
+pub fn spoke(view: &DispatchView<'_>) {
     let after_ms = millis(view.running_for);
     info!(request = view.id, attempt = view.attempt, after_ms, "its silent target goes on");
 }
 
 /// Logs the end of a dispatch.
-pub fn ended(view: &View<'_>, outcome: Outcome, begun: bool, events: u32) {
+pub fn ended(view: &DispatchView<'_>, outcome: Outcome, begun: bool, events: u32) {
     info!(
         request = view.id,
         outcome = name(outcome),
         begun,
         events,
         attempt = view.attempt,
-        first_ms = view.first.map(millis),
+        first_ms = view.time_to_first_event.map(millis),
         after_ms = millis(view.running_for),
         since_arrival_ms = view.waited.as_millis() as u64,
         "a dispatch ended"
@@ -274,7 +276,7 @@
     let ages = state.ages(now);
     warn!(
         version = state.known().plan,
-        proof_age_ms = ages.proof.map(millis),
+        proof_age_ms = ages.confirmed.map(millis),
         list_age_ms = state.list_age(now.steady).map(millis),
         answered_age_ms = ages.answered.map(millis),
         "the configuration may be out of date: keys don't count"
--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -5,11 +5,12 @@
 use model::id::AccountName;
 
 use super::{
-    PATIENCE, PROMOTE_PART, RETRY, State, WAIT_MIN, WAIT_PART, allowance,
+    DEFAULT_TIMEOUT, MAX_WAIT_FLOOR, MAX_WAIT_SHARE, NOT_READY_RETRY_AFTER, PROMOTION_SHARE, State,
+    allowance,
     event::{Effect, Now, Refusal, RefusalContext, RefusalReason, Request},
     pending::{Charge, Pending, Stage},
-    plan::Plan,
-    refuse,
+    plan::Configuration,
+    refusal,
 };
 
 impl State {
@@ -35,52 +36,58 @@
         request: Request,
         context: &mut RefusalContext,
     ) -> Result<Pending, Refusal> {
-        let plan = self.plan.clone().ok_or(refuse(RefusalReason::NotReady).after(RETRY))?;
+        let configuration = self
+            .configuration
+            .clone()
+            .ok_or(refusal(RefusalReason::NotReady).with_retry_after(NOT_READY_RETRY_AFTER))?;
         // A stale configuration may lack a route that exists by now.
         let no_route_reason =
-            if self.fresh { RefusalReason::NoRoute } else { RefusalReason::NotReady };
-        let route = plan.route(&request.host, &request.path).ok_or(refuse(no_route_reason))?;
+            if self.is_fresh { RefusalReason::NoRoute } else { RefusalReason::NotReady };
+        let route =
+            configuration.route(&request.host, &request.path).ok_or(refusal(no_route_reason))?;
         context.route.clone_from(&route.name);
         context.tier = Some(route.rank);
         context.expected_tokens = request.expected_tokens;
-        let account = self.authenticate(&plan, route.public, request.api_key.as_deref())?;
+        let account =
+            self.authenticate(&configuration, route.is_public, request.api_key.as_deref())?;
         context.account.clone_from(&account);
-        let patience = request.timeout.unwrap_or(PATIENCE).min(route.timeout);
-        if self.draining.is_some_and(|end| now.steady + patience > end) {
-            return Err(refuse(RefusalReason::Draining).after(Duration::ZERO));
+        let timeout = request.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        if self.drain_end.is_some_and(|end| now.steady + timeout > end) {
+            return Err(refusal(RefusalReason::Draining).with_retry_after(Duration::ZERO));
         }
-        let pool = route.pool(request.spread).ok_or(refuse(RefusalReason::NoRoute))?.clone();
+        let pool = route.pool(request.spread).ok_or(refusal(RefusalReason::NoRoute))?.clone();
         if self.is_quarantined(&request.fingerprint) {
-            return Err(refuse(RefusalReason::Quarantined));
+            return Err(refusal(RefusalReason::Quarantined));
         }
-        let account_settings = account.as_ref().and_then(|name| plan.accounts.get(name));
+        let account_settings = account.as_ref().and_then(|name| configuration.accounts.get(name));
         let (mut units, mut stage) = (0.0, Stage::Waiting);
         let limit = account_settings.and_then(|account| account.limit);
         if let (Some(name), Some(limit)) = (&account, limit) {
             let claim = State::claim(&limit, route.rank, &request);
             (units, stage) = (claim.units, Stage::Limited(claim));
-            let opened = self.opened;
+            let started = self.started;
             let account_entry = self.accounts.entry(name.clone());
-            account_entry.or_insert_with(|| allowance::open(opened)).ask(claim);
+            account_entry.or_insert_with(|| allowance::open(started)).ask(claim);
         }
         self.count_for_retry_budget(now.steady, &pool);
-        let max_wait = patience.min(WAIT_MIN.max(route.aim.mul_f64(WAIT_PART)));
+        let max_wait =
+            timeout.min(MAX_WAIT_FLOOR.max(route.target_latency.mul_f64(MAX_WAIT_SHARE)));
         Ok(Pending {
             account_rank: account_settings.map_or(0, |account| account.rank),
-            lowest_account_rank: self.lowest_account,
+            lowest_account_rank: self.lowest_account_rank,
             tier: route.rank,
-            promote: now.steady + max_wait.mul_f64(PROMOTE_PART),
+            promote: now.steady + max_wait.mul_f64(PROMOTION_SHARE),
             is_promoted: false,
             arrived: now.steady,
-            until: now.steady + patience,
+            until: now.steady + timeout,
             give_up: now.steady + max_wait,
             units,
             route: route.name.clone(),
             account,
             pool,
             retry_policy: route.repeat,
-            is_stream: route.stream,
-            attempts: route.attempts,
+            is_stream: route.is_stream,
+            attempts: route.max_attempts,
             dispatches: 0,
             charge: Charge::Free,
             may_have_run: false,
@@ -101,17 +108,17 @@
     /// configured. A stale configuration may lack the key, so that no key is accepted or rejected by it.
     fn authenticate(
         &self,
-        plan: &Plan,
+        configuration: &Configuration,
         public: bool,
         key: Option<&str>,
     ) -> Result<Option<AccountName>, Refusal> {
-        if public || plan.accounts.is_empty() {
+        if public || configuration.accounts.is_empty() {
             return Ok(None);
         }
-        if !self.fresh {
-            return Err(refuse(RefusalReason::NotReady).after(RETRY));
+        if !self.is_fresh {
+            return Err(refusal(RefusalReason::NotReady).with_retry_after(NOT_READY_RETRY_AFTER));
         }
-        let account = key.and_then(|key| plan.keys.get(key));
-        account.cloned().map(Some).ok_or(refuse(RefusalReason::BadKey))
+        let account = key.and_then(|key| configuration.keys.get(key));
+        account.cloned().map(Some).ok_or(refusal(RefusalReason::BadKey))
     }
 }
--- a/components/scheduler/src/direct/era.rs
+++ b/components/scheduler/src/direct/era.rs
@@ -29,21 +29,21 @@
 impl State {
     /// Records the era of the platform's service. If it is a newer one, the list may lack targets, as after
     /// an outage.
-    pub(super) fn enter(&mut self, now: Instant, era: Era) {
+    pub(super) fn enter_era(&mut self, now: Instant, era: Era) {
         if self.era.is_some_and(|known| known >= era) {
             return;
         }
         if self.era.replace(era).is_some() {
             self.era_began = Some(now);
-            self.outage = Some(now);
+            self.outage_ended = Some(now);
         }
         self.rollouts.enter(era);
     }
 
     /// Returns whether the configuration in force is current, given that the platform's newest one has this
     /// version.
-    pub(super) fn confirms_plan(&self, now: Instant, version: u64) -> bool {
-        let known = self.plan.as_ref().map_or(0, |plan| plan.version);
+    pub(super) fn confirms_configuration(&self, now: Instant, version: u64) -> bool {
+        let known = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
         if version < known {
             return false;
         }
@@ -55,15 +55,15 @@
 
     /// Returns whether other processes had enough time to offer a newer configuration and none has one.
     fn is_current_among_peers(&self, now: Instant) -> bool {
-        let known = self.plan.as_ref().map_or(0, |plan| plan.version);
+        let known = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
         let ahead = self.offers.values().any(|offer| offer.plan > known);
-        !ahead && (self.heard_offer || now.duration_since(self.opened) >= OFFER_WAIT)
+        !ahead && (self.has_received_offer || now.duration_since(self.started) >= OFFER_WAIT)
     }
 
     /// Remembers the targets in use that are no longer listed, for a limited time.
     pub(super) fn remember_departed(&mut self, now: Instant) {
         let listed: BTreeSet<&str> =
-            self.listing.targets.iter().map(|target| target.name.as_str()).collect();
+            self.target_list.targets.iter().map(|target| target.name.as_str()).collect();
         let departed =
             self.capacity.listed().filter(|target| !listed.contains(target.name.as_str()));
         let departed = departed.map(|target| (target.name.clone(), (target.incarnation, now)));
@@ -73,7 +73,7 @@
 
     /// Returns the list without targets that only a restored backup shows: an incarnation of a target that
     /// left, or was draining, never accepts requests again.
-    pub(super) fn settle(&self, now: Instant, mut listing: Listing) -> Listing {
+    pub(super) fn without_departed(&self, now: Instant, mut listing: Listing) -> Listing {
         if self.era_began.is_none_or(|at| now.duration_since(at) >= LISTING_EXPIRY) {
             return listing;
         }
--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -15,7 +15,7 @@
 
 use super::{
     peers::Row,
-    plan::Plan,
+    plan::Configuration,
     relay::{Era, Listing, News, Offer, Position, Topic},
     rollout::{Order, Report, Step, Version},
 };
@@ -218,7 +218,7 @@
         events: u32,
     },
     /// A configuration was read from the platform.
-    ConfigurationRead(Arc<Plan>),
+    ConfigurationRead(Arc<Configuration>),
     /// The operator ordered a rollout.
     RolloutOrdered(Order),
     /// The operator withdrew the rollout order for a pool.
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -13,11 +13,11 @@
 use model::id::AccountName;
 
 use super::{
-    LIMIT_RETRY_MAX, LIMIT_WAIT_PART, State,
+    LIMIT_RETRY_MAX_S, LIMIT_WAIT_SHARE, State,
     allowance::{self, Claim, LimitShare},
     event::{Effect, LimitShortage, Refusal, RefusalReason, Request, Ticket},
     pending::{Pending, Stage},
-    plan, refuse,
+    plan, refusal,
 };
 
 impl State {
@@ -25,7 +25,7 @@
     pub(super) fn claim(limit: &plan::Limit, rank: u32, request: &Request) -> Claim {
         let tokens =
             request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.max_output));
-        let units = if limit.tokens { tokens.unwrap_or(limit.plain) } else { 1.0 };
+        let units = if limit.counts_tokens { tokens.unwrap_or(limit.default_units) } else { 1.0 };
         let is_sized = tokens.is_some();
         // Requests to plain services state no tokens and are too small to leave units for higher ranks.
         Claim { units, rank: if is_sized { rank } else { 0 }, is_sized }
@@ -38,7 +38,7 @@
             return;
         }
         self.next_grant = None;
-        for (account, queue) in std::mem::take(&mut self.limited) {
+        for (account, queue) in std::mem::take(&mut self.waiting_for_limit) {
             let mut is_blocked = false;
             let mut still_waiting = BTreeSet::new();
             for order in queue {
@@ -61,7 +61,7 @@
                 }
             }
             if !still_waiting.is_empty() {
-                self.limited.insert(account, still_waiting);
+                self.waiting_for_limit.insert(account, still_waiting);
             }
         }
     }
@@ -79,7 +79,7 @@
         };
         let latest = |pending: &Pending| {
             let longest_wait = pending.give_up.saturating_duration_since(pending.arrived);
-            pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_PART)
+            pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_SHARE)
         };
         let is_too_late =
             self.requests.get(&ticket).is_some_and(|pending| now + wait > latest(pending));
@@ -100,8 +100,10 @@
     ) {
         let context = Box::new(self.refusal_context(now, ticket));
         self.remove(ticket, effects);
-        let refusal =
-            Refusal { shortage: Some(shortage), ..refuse(RefusalReason::AccountLimit).after(wait) };
+        let refusal = Refusal {
+            shortage: Some(shortage),
+            ..refusal(RefusalReason::AccountLimit).with_retry_after(wait)
+        };
         effects.push(Effect::Refuse { ticket, refusal, context });
     }
 
@@ -117,7 +119,7 @@
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
         let (limit, share) = self.limit(account)?;
-        let ahead = self.limited.get(account)?.range(..pending.order());
+        let ahead = self.waiting_for_limit.get(account)?.range(..pending.order());
         let ahead = ahead.filter_map(|order| self.limit_claim(order.ticket));
         let ahead: f64 = ahead.filter(|_| claim.is_sized).map(|ahead| ahead.units).sum();
         let shortage = self.accounts.get(account)?.shortage(now, &limit, share, claim);
@@ -127,11 +129,11 @@
     /// Returns an account's limit and the parts of it that this process may use; `None` where the account
     /// has no limit.
     fn limit(&self, account: &AccountName) -> Option<(plan::Limit, LimitShare)> {
-        let limit = self.plan.as_ref()?.accounts.get(account)?.limit?;
+        let limit = self.configuration.as_ref()?.accounts.get(account)?.limit?;
         let share = LimitShare {
-            processes: self.place.among,
-            known: self.heard,
-            usable: self.together,
+            processes: self.process_index.among,
+            known: self.current_processes,
+            usable: self.usable_parts,
             tolerance: self.settings.tolerance,
         };
         Some((limit, share))
@@ -149,9 +151,9 @@
         let Some((limit, share)) = self.limit(account) else {
             return Ok(());
         };
-        let opened = self.opened;
+        let started = self.started;
         let usage = self.accounts.entry(account.clone());
-        usage.or_insert_with(|| allowance::open(opened)).take(now, &limit, share, claim)
+        usage.or_insert_with(|| allowance::open(started)).take(now, &limit, share, claim)
     }
 
     /// Returns the units that a request waits for; `None` where it doesn't wait for its account's limit.
@@ -171,7 +173,7 @@
     }
 }
 
-/// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX`] seconds.
+/// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX_S`] seconds.
 fn refill_time(shortage: &LimitShortage, units: f64) -> Duration {
-    Duration::from_secs_f64(((units - shortage.left) / shortage.rate).clamp(0.0, LIMIT_RETRY_MAX))
+    Duration::from_secs_f64(((units - shortage.left) / shortage.rate).clamp(0.0, LIMIT_RETRY_MAX_S))
 }
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -55,7 +55,7 @@
 use holds::Holds;
 use peers::{Limited, Peers, Row, Use};
 use pending::{Order, Pending, Stage};
-use plan::Plan;
+use plan::Configuration;
 use relay::{Era, Known, Listing, Topic};
 use rollout::Rollouts;
 
@@ -63,34 +63,35 @@
 const HASHER: BuildHasherDefault<DefaultHasher> = BuildHasherDefault::new();
 /// Time after the end of an outage of the platform for which targets that are missing in its list are
 /// still used: live ones are listed again within two seconds of the outage's end.
-const RETURN: Duration = Duration::from_millis(2_200);
+const RELISTING_TIME: Duration = Duration::from_millis(2_200);
 /// Longest time between two answers of the platform that doesn't count as an outage.
-const SILENCE: Duration = Duration::from_millis(2_800);
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2_800);
 /// Number of target crashes after which requests with the same fingerprint are refused.
-const CRASHES: u32 = 2;
+const QUARANTINE_CRASHES: u32 = 2;
 /// Time after a connection broke off in which a failed connection to the same target, or its restart, is
 /// counted as a crash caused by the request on that connection.
 const CRASH_WINDOW: Duration = Duration::from_secs(2);
 /// Share of a request's maximum wait that it may spend waiting for units of its account's limit: a caller
 /// that is refused then can still retry in time to be served.
-const LIMIT_WAIT_PART: f64 = 0.4;
+const LIMIT_WAIT_SHARE: f64 = 0.4;
 /// Maximum retry time in seconds that is suggested to a caller whose account exceeds its limit.
-const LIMIT_RETRY_MAX: f64 = 30.0;
+const LIMIT_RETRY_MAX_S: f64 = 30.0;
 /// Maximum retry time that is suggested to a caller whose queued request is refused.
-const RETRY_MAX: Duration = Duration::from_secs(4);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 /// Retry time that is suggested to a caller where the configuration is missing or may be out of date.
-const RETRY: Duration = Duration::from_millis(400);
-/// Share of the route's target latency ([`Route::aim`](plan::Route::aim)) after which a request that still
-/// waits is refused. The remaining share is about the time to the first event. An answer after the target
-/// latency earns at most a third of the credit and takes as much capacity from requests that can be on time.
-const WAIT_PART: f64 = 0.75;
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Share of the target latency ([`Route::target_latency`](plan::Route::target_latency)) after which a request
+/// that still waits is refused. The remaining share is about the time to the first event. An answer after the
+/// target latency earns at most a third of the credit and takes as much capacity from requests that can be on
+/// time.
+const MAX_WAIT_SHARE: f64 = 0.75;
 /// Share of a request's maximum wait after which its account's rank determines its place in the queue.
-const PROMOTE_PART: f64 = 0.75;
+const PROMOTION_SHARE: f64 = 0.75;
 /// Lower bound of the maximum wait for a slot, for routes with a small target latency.
-const WAIT_MIN: Duration = Duration::from_millis(250);
+const MAX_WAIT_FLOOR: Duration = Duration::from_millis(250);
 /// Share of the time to the request's deadline that is suggested to a refused caller as its retry time:
 /// late enough for a burst to pass, early enough for the retry to be served.
-const RETRY_PART: f64 = 0.25;
+const RETRY_AFTER_SHARE: f64 = 0.25;
 /// Minimum time without data from a target after which a request that may be repeated waits for a slot at
 /// another target.
 const UNRESPONSIVE_TIMEOUT_MIN: Duration = Duration::from_millis(500);
@@ -100,9 +101,9 @@
 const UNRESPONSIVE_TIMEOUT_FACTOR: u32 = 4;
 /// Time for which a request that may have run waits for another target while no part of its answer was
 /// passed to its caller; after that the caller may retry itself.
-const REPEAT_WAIT: Duration = Duration::from_millis(1_500);
+const RETRY_WAIT_MAX: Duration = Duration::from_millis(1_500);
 /// Time to the deadline of a request whose caller doesn't state one.
-const PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Settings of the reducer, fixed for the lifetime of the process.
 #[derive(Clone, Debug, PartialEq)]
@@ -114,23 +115,23 @@
     /// Availability zone of the process.
     pub zone: ZoneName,
     /// Maximum time since the configuration was last known to be current for which API keys are accepted.
-    pub freshness: Duration,
+    pub max_configuration_age: Duration,
     /// Time after the last row or registration of another process from which on that process can't accept
     /// requests with a key any more.
-    pub gone: Duration,
+    pub peer_timeout: Duration,
     /// Limits of the retry budget of each pool.
-    pub repeats: budget::Rule,
+    pub retry_budget: budget::Rule,
     /// How far accounts may exceed their limits.
     pub tolerance: allowance::Tolerance,
     /// Share of a pool's requests, from 0 to 1, that a new version may get before it is judged good.
-    pub exposure: f64,
+    pub trial_share: f64,
 }
 
 /// Ages of the information that this process has about the platform; `None` where it has none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ages {
     /// Time since this process last confirmed that its configuration is current.
-    pub proof: Option<Duration>,
+    pub confirmed: Option<Duration>,
     /// Time since the platform last answered this process or another one that reported it.
     pub answered: Option<Duration>,
 }
@@ -140,25 +141,25 @@
 pub struct State {
     settings: Settings,
     /// Time at which the process started.
-    opened: Instant,
+    started: Instant,
     /// Configuration in force; `None` before the first one was read.
-    plan: Option<Arc<Plan>>,
+    configuration: Option<Arc<Configuration>>,
     /// Rank of the lowest tier of each pool whose streams have several tiers.
-    lowest: BTreeMap<PoolName, u32>,
+    lowest_tiers: BTreeMap<PoolName, u32>,
     /// Lowest rank that any account has, which is the highest number.
-    lowest_account: u32,
+    lowest_account_rank: u32,
     /// Time by the boot clock at which the configuration was last confirmed to be current.
     confirmed: Option<Duration>,
     /// Whether the configuration counts as current, so that API keys are accepted.
-    fresh: bool,
+    is_fresh: bool,
     /// Time by the boot clock at which the platform last answered this process or another one that
     /// reported it.
-    answered: Option<Duration>,
+    platform_answered: Option<Duration>,
     /// Time at which the platform's last outage ended; `None` where there was none, or where another process
     /// reported that the platform answered it meanwhile.
-    outage: Option<Instant>,
+    outage_ended: Option<Instant>,
     /// Last list of targets that was read from the platform or fetched from another process.
-    listing: Listing,
+    target_list: Listing,
     /// Time at which the platform last answered a read of its list of targets.
     list_answered: Option<Instant>,
     /// Versions of what other processes offer, by their addresses; only of processes that have something
@@ -175,7 +176,7 @@
     /// Targets that left the list, with their incarnations and the times at which they left.
     departed: BTreeMap<TargetName, (Incarnation, Instant)>,
     /// Whether any other process has sent an offer.
-    heard_offer: bool,
+    has_received_offer: bool,
     capacity: Capacity,
     /// Requests that haven't ended.
     requests: HashMap<Ticket, Pending>,
@@ -184,7 +185,7 @@
     /// Times at which waiting requests may be reserved at one more agent.
     reserve_at: BTreeSet<Instant>,
     /// Requests that wait for units of their account's limit.
-    limited: BTreeMap<AccountName, BTreeSet<Order>>,
+    waiting_for_limit: BTreeMap<AccountName, BTreeSet<Order>>,
     /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
     /// has to be computed again.
     next_grant: Option<Instant>,
@@ -199,27 +200,27 @@
     rollouts: Rollouts,
     peers: Peers,
     /// Index of this process among the entry processes that may take requests, and their number.
-    place: Place,
+    process_index: Place,
     /// Number of entry processes, this one included, whose rows are current.
-    heard: u32,
+    current_processes: u32,
     /// Number of entry processes, this one included, whose parts of limits this one may use.
-    together: u32,
+    usable_parts: u32,
     /// Sequence number of the last row that this process made about itself.
     sequence: u64,
     crashes: Crashes,
     /// Time from which crash counts may be fetched again.
-    crashes_at: Option<Instant>,
+    next_crash_fetch: Option<Instant>,
     /// Requests whose connection broke off, until it is known whether their target crashed.
-    lost: Vec<Loss>,
+    broken_dispatches: Vec<BrokenDispatch>,
     /// Targets for which a probe is in flight, with their incarnations.
     probing: BTreeMap<TargetName, Incarnation>,
     /// Time at which the process ends, once it drains.
-    draining: Option<Instant>,
+    drain_end: Option<Instant>,
 }
 
 /// Facts about a dispatch in flight, for the log and the metrics.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct DispatchView<'a> {
     /// Request ID that the caller sent.
     pub id: &'a str,
     /// Name of the request's route.
@@ -230,62 +231,62 @@
     pub running: u32,
     /// Number of requests of other processes that are in flight at the target, by their last rows or the
     /// last report of the target's agent.
-    pub elsewhere: u32,
+    pub running_of_others: u32,
     /// Rate limit of the target in requests per second, and the time since it was stated; `None` where the
     /// target states no limit.
     pub limit: Option<(f64, Duration)>,
     /// Version of the configuration in force.
-    pub plan: u64,
+    pub configuration_version: u64,
     /// Time since the platform last answered a read of its list of targets; `None` where it never did.
     pub list_age: Option<Duration>,
     /// Units of the account's limit that the request took.
     pub units: f64,
     /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
-    pub expected: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// Account of the request; `None` on a public route.
     pub account: Option<&'a str>,
     /// Rank of the request's route; 0 is the highest.
     pub tier: u32,
     /// Time per token of an answer at the target in ms, as the target's agent last reported it; `None` where
     /// no agent reported it.
-    pub pace: Option<f64>,
+    pub token_ms: Option<f64>,
     /// Time since the dispatch.
     pub running_for: Duration,
     /// Time from the dispatch to the first event of the answer; `None` before that.
-    pub first: Option<Duration>,
+    pub time_to_first_event: Option<Duration>,
     /// Time from the request's arrival to its deadline.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Number of the dispatch among those of the request, from 1.
     pub attempt: u32,
     /// Whether the request waits for a slot at another target, since its own is unresponsive.
-    pub seeks: bool,
+    pub is_seeking: bool,
 }
 
 /// A dispatch whose connection broke off, possibly because its target crashed.
 #[derive(Clone, Debug)]
-struct Loss {
+struct BrokenDispatch {
     /// Time at which the connection broke off.
     at: Instant,
     target: String,
     /// Fingerprint of the request.
-    body: Fingerprint,
+    fingerprint: Fingerprint,
     /// Whether the target accepted a connection afterwards: then only its restart proves that it crashed.
-    reached: bool,
+    is_target_reached: bool,
 }
 
 /// Returns the state of a process that just started: without a configuration, targets or peers.
 pub fn open(now: Instant, settings: Settings) -> State {
     State {
         settings,
-        opened: now,
-        plan: None,
-        lowest: BTreeMap::new(),
-        lowest_account: 0,
+        started: now,
+        configuration: None,
+        lowest_tiers: BTreeMap::new(),
+        lowest_account_rank: 0,
         confirmed: None,
-        fresh: false,
-        answered: None,
-        outage: None,
-        listing: Listing::default(),
+        is_fresh: false,
+        platform_answered: None,
+        outage_ended: None,
+        target_list: Listing::default(),
         list_answered: None,
         offers: BTreeMap::new(),
         fetching: BTreeSet::new(),
@@ -293,12 +294,12 @@
         era: None,
         era_began: None,
         departed: BTreeMap::new(),
-        heard_offer: false,
+        has_received_offer: false,
         capacity: Capacity::default(),
         requests: HashMap::new(),
         waiting: BTreeMap::new(),
         reserve_at: BTreeSet::new(),
-        limited: BTreeMap::new(),
+        waiting_for_limit: BTreeMap::new(),
         next_grant: None,
         timers: BTreeSet::new(),
         accounts: BTreeMap::new(),
@@ -306,15 +307,15 @@
         holds: Holds::default(),
         rollouts: Rollouts::default(),
         peers: Peers::default(),
-        place: Place { index: 0, among: 1 },
-        heard: 1,
-        together: 1,
+        process_index: Place { index: 0, among: 1 },
+        current_processes: 1,
+        usable_parts: 1,
         sequence: 0,
         crashes: Crashes::default(),
-        crashes_at: None,
-        lost: Vec::new(),
+        next_crash_fetch: None,
+        broken_dispatches: Vec::new(),
         probing: BTreeMap::new(),
-        draining: None,
+        drain_end: None,
     }
 }
 
@@ -345,7 +346,9 @@
         Event::CallerDisconnected { ticket, .. } => {
             state.remove(ticket, &mut effects);
         }
-        Event::ConfigurationRead(plan) => state.plan(plan, &mut effects),
+        Event::ConfigurationRead(configuration) => {
+            state.apply_configuration(configuration, &mut effects)
+        }
         Event::RolloutOrdered(order) => {
             let step = state.rollouts.order(now.steady, order, Duration::ZERO);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
@@ -380,7 +383,7 @@
         Event::Probed { target, reached } => {
             state.probed(now.steady, &target, reached, &mut effects);
         }
-        Event::Drain { end } => state.draining = Some(end),
+        Event::Drain { end } => state.drain_end = Some(end),
         Event::Tick => state.update_peers(now.steady, &mut effects),
     }
     state.update_freshness(now, &mut effects);
@@ -410,7 +413,7 @@
 
     /// Returns whether a load balancer should send requests to this process.
     pub fn is_ready(&self) -> bool {
-        self.plan.is_some() && self.fresh && self.draining.is_none()
+        self.configuration.is_some() && self.is_fresh && self.drain_end.is_none()
     }
 
     /// Returns the number of requests that haven't ended.
@@ -419,35 +422,38 @@
     }
 
     /// Returns whether the last row of the process at this address is current.
-    pub fn hears(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn is_row_current(&self, now: Instant, address: SocketAddr) -> bool {
         self.peers.hears(now, address)
     }
 
     /// Returns facts about the dispatch of a request; `None` where the request isn't in flight at a target.
-    pub fn view(&self, ticket: Ticket, now: Instant) -> Option<View<'_>> {
+    pub fn dispatch_view(&self, ticket: Ticket, now: Instant) -> Option<DispatchView<'_>> {
         let pending = self.requests.get(&ticket)?;
         let running = pending.running()?;
         let since = running.since;
         let state = self.capacity.state(&running.slot.target);
-        Some(View {
+        Some(DispatchView {
             id: &pending.request.id,
             route: &pending.route,
             waited: now.saturating_duration_since(pending.arrived),
             running: state.map_or(0, |state| state.own),
-            elsewhere: state.map_or(0, |state| state.others),
+            running_of_others: state.map_or(0, |state| state.others),
             limit: state.and_then(|state| state.limit(now)),
-            plan: self.plan.as_ref().map_or(0, |plan| plan.version),
+            configuration_version: self
+                .configuration
+                .as_ref()
+                .map_or(0, |configuration| configuration.version),
             list_age: self.list_age(now),
             units: pending.units,
-            expected: pending.request.expected_tokens,
+            expected_tokens: pending.request.expected_tokens,
             account: pending.account.as_deref(),
             tier: pending.tier,
-            pace: state.and_then(|state| state.pace()),
+            token_ms: state.and_then(|state| state.pace()),
             running_for: now.saturating_duration_since(since),
-            first: running.first,
-            patience: pending.until.saturating_duration_since(pending.arrived),
+            time_to_first_event: running.first,
+            timeout: pending.until.saturating_duration_since(pending.arrived),
             attempt: pending.dispatches,
-            seeks: matches!(pending.stage, Stage::Seeking(_)),
+            is_seeking: matches!(pending.stage, Stage::Seeking(_)),
         })
     }
 
@@ -487,18 +493,18 @@
     /// Returns the ages of the information that this process has about the platform.
     pub fn ages(&self, now: Now) -> Ages {
         let age = |at: Duration| now.boot.saturating_sub(at);
-        Ages { proof: self.confirmed.map(age), answered: self.answered.map(age) }
+        Ages { confirmed: self.confirmed.map(age), answered: self.platform_answered.map(age) }
     }
 
     /// Returns whether the row of any other process that may take requests is missing or out of date.
-    pub fn is_lonely(&self, now: Instant) -> bool {
-        let gone = self.settings.gone;
-        self.peers.heard(now, gone) < self.peers.expected(now, gone)
+    pub fn is_missing_peers(&self, now: Instant) -> bool {
+        let peer_timeout = self.settings.peer_timeout;
+        self.peers.heard(now, peer_timeout) < self.peers.expected(now, peer_timeout)
     }
 
     /// Returns the configuration in force; `None` where none was read yet.
-    pub fn plan_in_force(&self) -> Option<&Arc<Plan>> {
-        self.plan.as_ref()
+    pub fn configuration_in_force(&self) -> Option<&Arc<Configuration>> {
+        self.configuration.as_ref()
     }
 
     /// Returns the addresses of the other entry processes that may be alive.
@@ -507,16 +513,16 @@
     }
 
     /// Builds a new row about this process, with the next sequence number, to send to the others.
-    pub fn row(&mut self, now: Instant) -> Row {
+    pub fn next_row(&mut self, now: Instant) -> Row {
         self.sequence += 1;
         Row {
             address: Some(self.settings.address),
             incarnation: self.settings.incarnation,
             sequence: self.sequence,
             age: Duration::ZERO,
-            leaving: self.draining.is_some() && self.requests.is_empty(),
+            leaving: self.drain_end.is_some() && self.requests.is_empty(),
             hears: self.peers.heard_addresses(now),
-            uptime: now.saturating_duration_since(self.opened),
+            uptime: now.saturating_duration_since(self.started),
             accounts: self.accounts.iter().map(account_use).collect(),
             running: self.capacity.running(now),
             limits: self.capacity.limits(now).map(target_limit).collect(),
@@ -525,7 +531,7 @@
     }
 
     /// Returns the last rows of the other processes with their current ages, to relay them.
-    pub fn rows(&self, now: Instant) -> Vec<Row> {
+    pub fn peer_rows(&self, now: Instant) -> Vec<Row> {
         self.peers.rows(now).collect()
     }
 }
@@ -539,12 +545,12 @@
     Limited { target: name.clone(), incarnation: *incarnation, limit }
 }
 
-fn refuse(reason: RefusalReason) -> Refusal {
+fn refusal(reason: RefusalReason) -> Refusal {
     Refusal { reason, not_run: true, retry_after: None, shortage: None }
 }
 
 impl Refusal {
-    fn after(self, wait: Duration) -> Refusal {
+    fn with_retry_after(self, wait: Duration) -> Refusal {
         Refusal { retry_after: Some(wait), ..self }
     }
 }
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! A row is *current* while it is younger than ten exchange periods. A process is *active* while it
 //! isn't leaving and its newest row, or the last change of its stamp at the platform's service, is
-//! younger than the setting [`gone`](super::Settings::gone).
+//! younger than the setting [`peer_timeout`](super::Settings::peer_timeout).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -212,15 +212,15 @@
         self.peers.get(&address).is_some_and(|peer| self.has_current_row(peer, now))
     }
 
-    /// Returns the number of active processes. One that wasn't seen for as long as `gone` can't take
+    /// Returns the number of active processes. One that wasn't seen for as long as `peer_timeout` can't take
     /// requests with a key any more.
-    pub fn expected(&self, now: Instant, gone: Duration) -> usize {
-        self.active(now, gone).count()
+    pub fn expected(&self, now: Instant, peer_timeout: Duration) -> usize {
+        self.active(now, peer_timeout).count()
     }
 
     /// Returns the number of active processes whose rows are current.
-    pub fn heard(&self, now: Instant, gone: Duration) -> usize {
-        self.active(now, gone).filter(|peer| self.has_current_row(peer, now)).count()
+    pub fn heard(&self, now: Instant, peer_timeout: Duration) -> usize {
+        self.active(now, peer_timeout).filter(|peer| self.has_current_row(peer, now)).count()
     }
 
     /// Returns the number of processes, this one included, whose parts of accounts' limits this process
@@ -229,9 +229,9 @@
     /// Besides this process, these are the active processes with a current row whose [`Row::hears`]
     /// contains `own`, the address of this process, and contains no active process whose row is stale
     /// here. So two processes never use the same part unless one of them receives the other's rows.
-    pub fn together(&self, now: Instant, gone: Duration, own: SocketAddr) -> u32 {
+    pub fn together(&self, now: Instant, peer_timeout: Duration, own: SocketAddr) -> u32 {
         let (current, stale): (Vec<&Peer>, Vec<&Peer>) =
-            self.active(now, gone).partition(|peer| self.has_current_row(peer, now));
+            self.active(now, peer_timeout).partition(|peer| self.has_current_row(peer, now));
         let stale: BTreeSet<SocketAddr> =
             stale.into_iter().filter_map(|peer| peer.row.address).collect();
         let is_part_usable = |peer: &&Peer| {
@@ -255,8 +255,8 @@
     }
 
     /// Returns the addresses of the active processes.
-    pub fn active_addresses(&self, now: Instant, gone: Duration) -> Vec<SocketAddr> {
-        self.active(now, gone).filter_map(|peer| peer.row.address).collect()
+    pub fn active_addresses(&self, now: Instant, peer_timeout: Duration) -> Vec<SocketAddr> {
+        self.active(now, peer_timeout).filter_map(|peer| peer.row.address).collect()
     }
 
     /// Returns the newest row of each process that sent one, stale rows included, with its present age.
@@ -286,19 +286,19 @@
 
     /// Returns whether every active process reports that it has moved all requests to the version that
     /// is ordered at this position.
-    pub fn all_moved(&self, now: Instant, gone: Duration, order: Position) -> bool {
-        self.active(now, gone).all(|peer| {
+    pub fn all_moved(&self, now: Instant, peer_timeout: Duration, order: Position) -> bool {
+        self.active(now, peer_timeout).all(|peer| {
             peer.row.rollouts.iter().any(|share| share.order.position == order && share.moved)
         })
     }
 
-    /// Removes processes that weren't seen for ten times as long as `gone`.
-    pub fn forget(&mut self, now: Instant, gone: Duration) {
-        self.peers.retain(|_, peer| now.duration_since(peer.last_seen()) < gone * 10);
+    /// Removes processes that weren't seen for ten times as long as `peer_timeout`.
+    pub fn forget(&mut self, now: Instant, peer_timeout: Duration) {
+        self.peers.retain(|_, peer| now.duration_since(peer.last_seen()) < peer_timeout * 10);
     }
 
-    fn active(&self, now: Instant, gone: Duration) -> impl Iterator<Item = &Peer> {
-        self.peers.values().filter(move |peer| peer.is_active(now, gone))
+    fn active(&self, now: Instant, peer_timeout: Duration) -> impl Iterator<Item = &Peer> {
+        self.peers.values().filter(move |peer| peer.is_active(now, peer_timeout))
     }
 }
 
@@ -308,7 +308,7 @@
         self.row_made.map_or(self.stamp_seen, |made| made.max(self.stamp_seen))
     }
 
-    fn is_active(&self, now: Instant, gone: Duration) -> bool {
-        !self.row.leaving && now.saturating_duration_since(self.last_seen()) < gone
+    fn is_active(&self, now: Instant, peer_timeout: Duration) -> bool {
+        !self.row.leaving && now.saturating_duration_since(self.last_seen()) < peer_timeout
     }
 }
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -186,8 +186,8 @@
     /// Returns whether the request may be dispatched again after `ran` targets may have run it.
     pub fn may_repeat(&self, ran: usize) -> bool {
         let allowed = match self.retry_policy {
-            Repeat::Safe => !self.begun,
-            Repeat::Resume => self.is_stream,
+            Repeat::Idempotent => !self.begun,
+            Repeat::Resumable => self.is_stream,
             Repeat::Never => false,
         };
         allowed && ran < self.attempts as usize
--- a/components/scheduler/src/direct/plan.rs
+++ b/components/scheduler/src/direct/plan.rs
@@ -12,16 +12,16 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Repeat {
     /// The request is idempotent and may be dispatched again until a part of its answer was passed on.
-    Safe,
+    Idempotent,
     /// The answer is a stream that another target can resume after the last event that was received.
-    Resume,
+    Resumable,
     /// The request must run at most once.
     Never,
 }
 
 /// A pool of a route, with its share of the route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Part {
+pub struct PoolShare {
     /// Pool to which the share of requests goes.
     pub pool: PoolName,
     /// Weight of the pool, relative to the other pools of the route.
@@ -40,20 +40,20 @@
     /// Whether requests may be dispatched again after they may have run.
     pub repeat: Repeat,
     /// Whether the answers are streams of events.
-    pub stream: bool,
+    pub is_stream: bool,
     /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
     /// Target latency: time to the answer, or to a stream's first event, within which a request earns its
     /// full credit.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// Rank of the route's tier; 0 is the highest.
     pub rank: u32,
     /// Maximum number of targets that may run one request; at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests are served without an API key.
-    pub public: bool,
+    pub is_public: bool,
     /// Pools among which the requests are split; never empty.
-    pub parts: Vec<Part>,
+    pub pools: Vec<PoolShare>,
 }
 
 /// Rate limit of an account over all entry processes: a token bucket of units.
@@ -64,9 +64,9 @@
     /// Capacity of the bucket in units, which may be used at once.
     pub burst: f64,
     /// Units of a request that states no token counts, where a unit is a token.
-    pub plain: f64,
+    pub default_units: f64,
     /// Whether a unit is a token; otherwise a unit is a request.
-    pub tokens: bool,
+    pub counts_tokens: bool,
 }
 
 /// Settings of a client account.
@@ -80,7 +80,7 @@
 
 /// A complete configuration of one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Plan {
+pub struct Configuration {
     /// Version number, which increases with each change.
     pub version: u64,
     /// Routes by host name; each list is sorted with the longest prefix first.
@@ -90,12 +90,12 @@
     /// Accounts by API key.
     pub keys: BTreeMap<String, AccountName>,
     /// Maximum time for which a caller's connection stays open without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum size of a request body in bytes.
-    pub body_max: usize,
+    pub max_body_bytes: usize,
 }
 
-impl Plan {
+impl Configuration {
     /// Returns the route of a request; `None` where no route matches. A port in `host` is ignored unless a
     /// route names it.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
@@ -105,15 +105,15 @@
     }
 
     /// Returns the rank of the lowest tier among a pool's streams; `None` unless these have several tiers.
-    pub fn lowest(&self, pool: &str) -> Option<u32> {
-        let routes = self.routes.values().flatten().filter(|route| route.stream);
-        let served = routes.filter(|route| route.parts.iter().any(|part| part.pool == pool));
+    pub fn lowest_stream_rank(&self, pool: &str) -> Option<u32> {
+        let routes = self.routes.values().flatten().filter(|route| route.is_stream);
+        let served = routes.filter(|route| route.pools.iter().any(|share| share.pool == pool));
         let ranks: BTreeSet<u32> = served.map(|route| route.rank).collect();
         if ranks.len() > 1 { ranks.last().copied() } else { None }
     }
 
     /// Adds a route, keeping the list of its host name sorted by the length of the prefix.
-    pub fn insert(&mut self, route: Route) {
+    pub fn insert_route(&mut self, route: Route) {
         let routes = self.routes.entry(route.host.clone()).or_default();
         let at = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
         routes.insert(at, route);
@@ -124,12 +124,12 @@
     /// Returns the pool of a request, chosen by weight. `spread` is distributed evenly over requests. `None`
     /// where the weights of all pools are 0.
     pub fn pool(&self, spread: u64) -> Option<&PoolName> {
-        let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
+        let total: u64 = self.pools.iter().map(|share| u64::from(share.weight)).sum();
         let mut remainder = spread.checked_rem(total)?;
-        for part in &self.parts {
-            match remainder.checked_sub(u64::from(part.weight)) {
+        for share in &self.pools {
+            match remainder.checked_sub(u64::from(share.weight)) {
                 Some(left) => remainder = left,
-                None => return Some(&part.pool),
+                None => return Some(&share.pool),
             }
         }
         None
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -22,7 +22,7 @@
             let queue = match (&pending.stage, &pending.account) {
                 (Stage::Limited(_), Some(account)) => {
                     self.next_grant = None;
-                    self.limited.entry(account.clone()).or_default()
+                    self.waiting_for_limit.entry(account.clone()).or_default()
                 }
                 _ => self.waiting.entry(pending.pool.clone()).or_default(),
             };
@@ -63,7 +63,7 @@
     pub(super) fn dequeue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
-                (Stage::Limited(_), Some(account)) => self.limited.get_mut(account),
+                (Stage::Limited(_), Some(account)) => self.waiting_for_limit.get_mut(account),
                 _ => self.waiting.get_mut(&pending.pool),
             };
             if let Some(queue) = queue {
@@ -102,8 +102,9 @@
     pub(super) fn place(&mut self, now: Now, effects: &mut Vec<Effect>) {
         // Drops the times that have passed; requests that still wait add new ones below.
         self.reserve_at = self.reserve_at.split_off(&now.steady);
-        let (rule, processes, opened) = (self.settings.repeats, self.place.among, self.opened);
-        let hears_minority = self.rollouts.any_active() && self.is_outnumbered(now.steady);
+        let (rule, processes, started) =
+            (self.settings.retry_budget, self.process_index.among, self.started);
+        let is_in_minority = self.rollouts.any_active() && self.is_in_minority(now.steady);
         for (pool, queue) in &mut self.waiting {
             if queue.is_empty() {
                 continue;
@@ -120,21 +121,21 @@
                 };
                 if pending.charge == Charge::Due {
                     let budget = self.budgets.entry(pool.clone());
-                    let budget = budget.or_insert_with(|| budget::open(opened));
+                    let budget = budget.or_insert_with(|| budget::open(started));
                     if !budget.take_retry(now.steady, &rule, processes) {
                         continue;
                     }
                     pending.charge = Charge::Paid;
                 }
                 // The lowest tier leaves slots to the others where its requests hold theirs for longest.
-                let is_lowest = self.lowest.get(pool) == Some(&pending.tier)
+                let is_lowest = self.lowest_tiers.get(pool) == Some(&pending.tier)
                     && self.holds.is_longest(pool, pending.tier);
                 // Uniform from 0 up to but excluding 1.
                 let spread = (pending.request.spread >> 12) as f64 / (1_u64 << 52) as f64;
                 let is_selected = *pending.chosen.get_or_insert_with(|| {
-                    let max_share = self.settings.exposure;
+                    let max_share = self.settings.trial_share;
                     let pool_route = (pool, pending.route.as_str());
-                    self.rollouts.choose(now.steady, pool_route, spread, max_share, hears_minority)
+                    self.rollouts.choose(now.steady, pool_route, spread, max_share, is_in_minority)
                 });
                 let lane = self.rollouts.lane(now.steady, pool, is_selected);
                 let (tried, rejected) = (pending.tried.clone(), pending.rejected.clone());
@@ -145,7 +146,8 @@
                 };
                 let may_fit = has_room || lane == Lane::Ordered;
                 if may_fit && (!is_lowest || has_room_for_lowest) {
-                    if let Some(slot) = self.capacity.take(now.steady, self.place, &demand) {
+                    if let Some(slot) = self.capacity.take(now.steady, self.process_index, &demand)
+                    {
                         dequeued.push(*order);
                         self.timers.remove(&(pending.next_timer(), order.ticket));
                         pending.withdraw(effects);
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -23,10 +23,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    HASHER, SILENCE, State,
+    HASHER, OUTAGE_THRESHOLD, State,
     crashes::CrashCount,
     event::{Effect, Now, Target},
-    plan::Plan,
+    plan::Configuration,
 };
 
 /// Shortest time between the starts of two fetches of crash counts. While many targets crash at once, the
@@ -88,7 +88,7 @@
     /// The list of targets.
     Targets(Listing),
     /// The configuration.
-    Plan(Arc<Plan>),
+    Plan(Arc<Configuration>),
     /// Counts of bodies that crashed targets, of every process whose counts the sender has.
     Crashes(Vec<CrashCount>),
 }
@@ -155,15 +155,15 @@
 impl State {
     /// Returns the versions of the data that this process has.
     pub fn known(&self) -> Known {
-        let plan = self.plan.as_ref().map_or(0, |plan| plan.version);
-        Known { plan, targets: self.listing.position, crashes: self.crashes.digest() }
+        let plan = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
+        Known { plan, targets: self.target_list.position, crashes: self.crashes.digest() }
     }
 
     /// Returns the offer that this process sends to the others. It leaves out the list of targets just
     /// after an outage.
     pub fn offer(&self, now: Now) -> Offer {
         let mut known = self.known();
-        if self.is_returning(now.steady) {
+        if self.is_recovering_from_outage(now.steady) {
             // Just after an outage the list may lack targets that are alive.
             known.clear(Topic::Targets);
             return Offer { known, answered: None };
@@ -178,22 +178,22 @@
             return None;
         }
         match topic {
-            Topic::Targets => Some(News::Targets(self.listing.clone())),
-            Topic::Plan => self.plan.clone().map(News::Plan),
+            Topic::Targets => Some(News::Targets(self.target_list.clone())),
+            Topic::Plan => self.configuration.clone().map(News::Plan),
             Topic::Crashes => Some(News::Crashes(self.crashes.counts(now.steady))),
         }
     }
 
-    /// Stores another process's offer. If the platform answered that process within the longest silence
-    /// that isn't an outage, there was no outage of the platform.
+    /// Stores another process's offer. If the platform answered that process less than
+    /// [`OUTAGE_THRESHOLD`] ago, the platform had no outage.
     pub(super) fn offered(&mut self, now: Now, peer: SocketAddr, offer: Offer) {
         if let Some(age) = offer.answered {
-            self.answered = self.answered.max(now.boot.checked_sub(age));
-            if age < SILENCE {
-                self.outage = None;
+            self.platform_answered = self.platform_answered.max(now.boot.checked_sub(age));
+            if age < OUTAGE_THRESHOLD {
+                self.outage_ended = None;
             }
         }
-        self.heard_offer = true;
+        self.has_received_offer = true;
         self.offers.insert(peer, offer.known);
     }
 
@@ -212,11 +212,11 @@
             known.clear(topic);
         }
         match news {
-            Some(News::Plan(plan)) => self.plan(plan, effects),
-            Some(News::Targets(listing)) if listing.position > self.listing.position => {
-                self.enter(now, listing.position.era);
-                self.listing = self.settle(now, listing);
-                self.use_listed(now, false, effects);
+            Some(News::Plan(configuration)) => self.apply_configuration(configuration, effects),
+            Some(News::Targets(listing)) if listing.position > self.target_list.position => {
+                self.enter_era(now, listing.position.era);
+                self.target_list = self.without_departed(now, listing);
+                self.apply_target_list(now, false, effects);
             }
             Some(News::Crashes(counts)) => {
                 counts.iter().for_each(|count| self.crashes.hear(now, count));
@@ -233,7 +233,7 @@
         self.offers.retain(|_, known| is_ahead(known));
         for topic in Topic::ALL {
             let is_throttled =
-                topic == Topic::Crashes && self.crashes_at.is_some_and(|at| now < at);
+                topic == Topic::Crashes && self.next_crash_fetch.is_some_and(|at| now < at);
             if is_throttled || self.fetching.contains(&topic) {
                 continue;
             }
@@ -244,7 +244,7 @@
             });
             if let Some((.., peer)) = ahead.max() {
                 if topic == Topic::Crashes {
-                    self.crashes_at = Some(now + MIN_CRASH_FETCH_INTERVAL);
+                    self.next_crash_fetch = Some(now + MIN_CRASH_FETCH_INTERVAL);
                 }
                 self.fetching.insert(topic);
                 effects.push(Effect::Fetch { peer, topic });
@@ -260,10 +260,10 @@
 
     /// Uses a list that this process read from the platform's service, unless a newer one is known.
     pub(super) fn take_over(&mut self, now: Instant, listing: Listing, effects: &mut Vec<Effect>) {
-        if listing.position >= self.listing.position {
-            self.enter(now, listing.position.era);
-            self.listing = self.settle(now, listing);
-            self.use_listed(now, self.is_returning(now), effects);
+        if listing.position >= self.target_list.position {
+            self.enter_era(now, listing.position.era);
+            self.target_list = self.without_departed(now, listing);
+            self.apply_target_list(now, self.is_recovering_from_outage(now), effects);
         }
     }
 }
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -5,7 +5,8 @@
 use model::id::{Fingerprint, PoolName, TargetName};
 
 use super::{
-    CRASH_WINDOW, CRASHES, Loss, REPEAT_WAIT, RETRY_MAX, RETRY_PART, State,
+    BrokenDispatch, CRASH_WINDOW, QUARANTINE_CRASHES, RETRY_AFTER_MAX, RETRY_AFTER_SHARE,
+    RETRY_WAIT_MAX, State,
     budget::{self, Budget},
     capacity::Slot,
     event::{Effect, LogEntry, Now, Outcome, Refusal, RefusalReason, Ticket},
@@ -80,7 +81,7 @@
             let hold_time = now.steady.saturating_duration_since(running.since);
             self.holds.learn(&pool, tier, hold_time);
         }
-        self.learn_version(now.steady, ticket, &running, (outcome, events));
+        self.record_version_result(now.steady, ticket, &running, (outcome, events));
         self.release(ticket, &running, effects);
         self.record_outcome(now.steady, ticket, &running.slot, outcome, effects);
         if matches!(outcome, Outcome::Completed | Outcome::DeadlineExceeded) {
@@ -152,9 +153,10 @@
             Outcome::Incomplete { crashed: true } => {
                 let body = pending.request.fingerprint;
                 let target = slot.target.clone();
-                let loss = Loss { at: now, target, body, reached: false };
-                self.lost.retain(|known| now.duration_since(known.at) < CRASH_WINDOW);
-                self.lost.push(loss);
+                let loss =
+                    BrokenDispatch { at: now, target, fingerprint: body, is_target_reached: false };
+                self.broken_dispatches.retain(|known| now.duration_since(known.at) < CRASH_WINDOW);
+                self.broken_dispatches.push(loss);
                 self.probe(&slot.target, effects);
             }
             Outcome::Completed
@@ -183,7 +185,7 @@
             pending.tried.pop();
         }
         if !pending.begun {
-            pending.give_up = pending.until.min(now + REPEAT_WAIT);
+            pending.give_up = pending.until.min(now + RETRY_WAIT_MAX);
         }
         // The answer may have begun after the search was started, which rules out retries of some routes.
         let allowed = pending.may_repeat(pending.tried.len());
@@ -261,7 +263,7 @@
         // An interrupted answer waits for a retry and a slot until the caller's deadline.
         if allowed && is_harmless && (begun || self.take_retry(now.steady, &pool)) {
             if let Some(pending) = self.requests.get_mut(&ticket) {
-                let wait = now.steady + REPEAT_WAIT;
+                let wait = now.steady + RETRY_WAIT_MAX;
                 pending.charge = if begun { Charge::Due } else { Charge::Paid };
                 pending.give_up = if begun { pending.until } else { pending.until.min(wait) };
             }
@@ -272,20 +274,20 @@
 
     /// Counts an admitted request, which adds a fraction of a retry to the budget of its pool.
     pub(super) fn count_for_retry_budget(&mut self, now: Instant, pool: &PoolName) {
-        let (rule, processes) = (self.settings.repeats, self.place.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.among);
         self.budget(pool).count_request(now, &rule, processes);
     }
 
     /// Takes one retry from the budget of a pool. Returns `false` where none is left.
     pub(super) fn take_retry(&mut self, now: Instant, pool: &PoolName) -> bool {
-        let (rule, processes) = (self.settings.repeats, self.place.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.among);
         self.budget(pool).take_retry(now, &rule, processes)
     }
 
     /// Returns the retry budget of a pool; a new one holds no retries.
     fn budget(&mut self, pool: &PoolName) -> &mut Budget {
-        let opened = self.opened;
-        self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(opened))
+        let started = self.started;
+        self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(started))
     }
 
     /// Starts a probe of whether a target takes connections, unless one is in progress.
@@ -311,8 +313,8 @@
             return;
         };
         if reached {
-            let lost = self.lost.iter_mut().filter(|loss| loss.target == *target);
-            return lost.for_each(|loss| loss.reached = true);
+            let lost = self.broken_dispatches.iter_mut().filter(|loss| loss.target == *target);
+            return lost.for_each(|loss| loss.is_target_reached = true);
         }
         self.capacity.mark_down(now, target, incarnation);
         self.count_crashes(now, target, false, effects);
@@ -329,26 +331,28 @@
         restarted: bool,
         effects: &mut Vec<Effect>,
     ) {
-        self.lost.retain(|loss| now.duration_since(loss.at) < CRASH_WINDOW);
-        let is_crash = |loss: &Loss| loss.target == target && (restarted || !loss.reached);
-        let (crashes, rest) = std::mem::take(&mut self.lost).into_iter().partition(is_crash);
-        self.lost = rest;
-        let crashes: Vec<Loss> = crashes;
+        self.broken_dispatches.retain(|loss| now.duration_since(loss.at) < CRASH_WINDOW);
+        let is_crash =
+            |loss: &BrokenDispatch| loss.target == target && (restarted || !loss.is_target_reached);
+        let (crashes, rest) =
+            std::mem::take(&mut self.broken_dispatches).into_iter().partition(is_crash);
+        self.broken_dispatches = rest;
+        let crashes: Vec<BrokenDispatch> = crashes;
         if !crashes.is_empty() {
             let (target, requests) = (target.to_owned(), crashes.len() as u32);
             effects.push(Effect::Log(LogEntry::Crashed { target, requests }));
         }
         for loss in crashes {
             let own_process = (self.settings.address, self.settings.incarnation);
-            if self.crashes.add(now, loss.body, own_process) == CRASHES {
-                effects.push(Effect::Log(LogEntry::Quarantined(loss.body)));
+            if self.crashes.add(now, loss.fingerprint, own_process) == QUARANTINE_CRASHES {
+                effects.push(Effect::Log(LogEntry::Quarantined(loss.fingerprint)));
             }
         }
     }
 
     /// Returns whether requests with this body are refused, since it reached the limit of crashes.
     pub(super) fn is_quarantined(&self, body: &Fingerprint) -> bool {
-        self.crashes.times(body) >= CRASHES
+        self.crashes.times(body) >= QUARANTINE_CRASHES
     }
 
     /// Ends a request without a whole answer: refuses it or, where a target answered with a failure and the
@@ -380,7 +384,7 @@
             _ => reason,
         };
         let left = pending.until.saturating_duration_since(now);
-        let retry_after = not_run.then_some(left.mul_f64(RETRY_PART).min(RETRY_MAX));
+        let retry_after = not_run.then_some(left.mul_f64(RETRY_AFTER_SHARE).min(RETRY_AFTER_MAX));
         let refusal = Refusal { reason, not_run, retry_after, shortage: None };
         effects.push(Effect::Refuse { ticket, refusal, context });
     }
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -26,17 +26,17 @@
     }
 
     /// Returns the index of this process among the entry processes, which may all write the same reports.
-    pub fn turn(&self) -> u32 {
-        self.place.index
+    pub fn report_delay_turns(&self) -> u32 {
+        self.process_index.index
     }
 
     /// Returns the number of dispatches of this process to the version that is ordered for a pool.
-    pub fn exposed(&self, pool: &str) -> u64 {
+    pub fn dispatches_to_ordered_version(&self, pool: &str) -> u64 {
         self.rollouts.exposed(pool)
     }
 
     /// Returns the target at which a request is in flight; `None` where it is at none.
-    pub fn target(&self, ticket: Ticket) -> Option<&Target> {
+    pub fn target_of(&self, ticket: Ticket) -> Option<&Target> {
         let running = self.requests.get(&ticket)?.running()?;
         Some(&self.capacity.state(&running.slot.target)?.target)
     }
@@ -66,11 +66,11 @@
             return;
         }
         self.rollouts.weigh(self.peers.shares());
-        let most = !self.is_outnumbered(now);
-        let all_heard = !self.is_lonely(now);
-        let gone = self.settings.gone;
+        let most = !self.is_in_minority(now);
+        let has_all_peers = !self.is_missing_peers(now);
+        let peer_timeout = self.settings.peer_timeout;
         let others = |order: &Order| {
-            let moved = all_heard && self.peers.all_moved(now, gone, order.position);
+            let moved = has_all_peers && self.peers.all_moved(now, peer_timeout, order.position);
             Others { most, moved }
         };
         let steps = self.rollouts.decide(now, others, |order| is_idle(&self.capacity, order));
@@ -80,9 +80,9 @@
     }
 
     /// Returns whether fewer than half of the other processes that may take requests have current rows.
-    pub(super) fn is_outnumbered(&self, now: Instant) -> bool {
-        let gone = self.settings.gone;
-        self.peers.heard(now, gone) * 2 < self.peers.expected(now, gone)
+    pub(super) fn is_in_minority(&self, now: Instant) -> bool {
+        let peer_timeout = self.settings.peer_timeout;
+        self.peers.heard(now, peer_timeout) * 2 < self.peers.expected(now, peer_timeout)
     }
 
     /// Reassigns to each target whether it gets requests, and those of which version.
@@ -92,7 +92,7 @@
     }
 
     /// Adds the result of a dispatch to the evidence about the version of its target.
-    pub(super) fn learn_version(
+    pub(super) fn record_version_result(
         &mut self,
         now: Instant,
         ticket: Ticket,
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -9,45 +9,51 @@
 use model::id::PoolName;
 
 use super::{
-    RETURN, SILENCE, State, allowance,
+    OUTAGE_THRESHOLD, RELISTING_TIME, State, allowance,
     capacity::Place,
     event::{Effect, LogEntry, Now},
     peers::{Row, Told},
-    plan::Plan,
+    plan::Configuration,
     relay::Era,
 };
 
 /// Returns whether the platform hasn't answered for so long that this counts as an outage.
 fn is_silent(answered: Option<Duration>, now: Now) -> bool {
-    answered.is_none_or(|at| now.boot.saturating_sub(at) > SILENCE)
+    answered.is_none_or(|at| now.boot.saturating_sub(at) > OUTAGE_THRESHOLD)
 }
 
 impl State {
     /// Puts a configuration in force if it is newer than the known one.
-    pub(super) fn plan(&mut self, plan: Arc<Plan>, effects: &mut Vec<Effect>) {
+    pub(super) fn apply_configuration(
+        &mut self,
+        configuration: Arc<Configuration>,
+        effects: &mut Vec<Effect>,
+    ) {
         // A process never replaces its configuration by an older version.
-        if self.plan.as_ref().is_some_and(|known| known.version >= plan.version) {
+        if self.configuration.as_ref().is_some_and(|known| known.version >= configuration.version) {
             return;
         }
-        effects.push(Effect::Log(LogEntry::ConfigurationChanged { version: plan.version }));
-        let routes = plan.routes.values().flatten();
+        effects
+            .push(Effect::Log(LogEntry::ConfigurationChanged { version: configuration.version }));
+        let routes = configuration.routes.values().flatten();
         let pools: BTreeSet<&PoolName> =
-            routes.flat_map(|route| &route.parts).map(|part| &part.pool).collect();
-        let lowest = |pool: &PoolName| Some((pool.clone(), plan.lowest(pool)?));
-        let ranks = plan.accounts.values().map(|account| account.rank);
-        self.lowest_account = ranks.max().unwrap_or_default();
-        self.lowest = pools.into_iter().filter_map(lowest).collect();
-        self.plan = Some(plan);
+            routes.flat_map(|route| &route.pools).map(|share| &share.pool).collect();
+        let lowest =
+            |pool: &PoolName| Some((pool.clone(), configuration.lowest_stream_rank(pool)?));
+        let ranks = configuration.accounts.values().map(|account| account.rank);
+        self.lowest_account_rank = ranks.max().unwrap_or_default();
+        self.lowest_tiers = pools.into_iter().filter_map(lowest).collect();
+        self.configuration = Some(configuration);
         self.next_grant = None;
     }
 
     /// Records that the platform answered a read of any kind: a single read of a large configuration may
     /// take longer than the time without an answer that counts as an outage.
     fn record_platform_answer(&mut self, now: Now) {
-        if is_silent(self.answered, now) {
-            self.outage = Some(now.steady);
+        if is_silent(self.platform_answered, now) {
+            self.outage_ended = Some(now.steady);
         }
-        self.answered = Some(now.boot);
+        self.platform_answered = Some(now.boot);
     }
 
     /// Records that the platform answered a read of its list of targets.
@@ -60,8 +66,8 @@
     /// version and its service this era.
     pub(super) fn confirm(&mut self, now: Now, boot: Duration, version: u64, era: Era) {
         self.record_platform_answer(now);
-        self.enter(now.steady, era);
-        if self.confirms_plan(now.steady, version) {
+        self.enter_era(now.steady, era);
+        if self.confirms_configuration(now.steady, version) {
             self.confirmed = self.confirmed.max(Some(boot));
         }
     }
@@ -69,21 +75,21 @@
     /// Updates whether the configuration counts as current, and logs a change.
     pub(super) fn update_freshness(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let age = self.confirmed.map(|at| now.boot.saturating_sub(at));
-        let fresh = age.is_some_and(|age| age < self.settings.freshness);
-        if fresh != self.fresh {
-            self.fresh = fresh;
+        let fresh = age.is_some_and(|age| age < self.settings.max_configuration_age);
+        if fresh != self.is_fresh {
+            self.is_fresh = fresh;
             effects.push(Effect::Log(LogEntry::FreshnessChanged(fresh)));
         }
     }
 
     /// Returns whether live targets may be missing in a list that is read now, since an outage just ended.
-    pub(super) fn is_returning(&self, now: Instant) -> bool {
-        self.outage.is_some_and(|at| now.duration_since(at) < RETURN)
+    pub(super) fn is_recovering_from_outage(&self, now: Instant) -> bool {
+        self.outage_ended.is_some_and(|at| now.duration_since(at) < RELISTING_TIME)
     }
 
     /// Replaces the targets in use by those of the last list and, if `keep_vanished` is set, those that are
     /// in use but missing in the list.
-    pub(super) fn use_listed(
+    pub(super) fn apply_target_list(
         &mut self,
         now: Instant,
         keep_vanished: bool,
@@ -93,7 +99,7 @@
         if !keep_vanished {
             self.remember_departed(now);
         }
-        let listed = &self.listing.targets;
+        let listed = &self.target_list.targets;
         let mut used = listed.clone();
         if keep_vanished {
             let names: BTreeSet<&str> = listed.iter().map(|target| target.name.as_str()).collect();
@@ -118,22 +124,22 @@
 
     /// Drops the targets that are missing in the list once live ones must be listed again.
     pub(super) fn drop_vanished_targets(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        if self.keeps_vanished && !self.is_returning(now) {
-            self.use_listed(now, false, effects);
+        if self.keeps_vanished && !self.is_recovering_from_outage(now) {
+            self.apply_target_list(now, false, effects);
         }
     }
 
     /// Applies rows that were received from another process: rollouts, rate limits of targets and the use of
     /// accounts' limits.
     pub(super) fn receive_rows(&mut self, now: Instant, rows: Vec<Row>, effects: &mut Vec<Effect>) {
-        let (own, opened) = (self.settings.address, self.opened);
+        let (own, started) = (self.settings.address, self.started);
         for row in rows.into_iter().filter(|row| row.address != Some(own)) {
             self.receive_shares(now, row.age, &row.rollouts, effects);
             self.hear_limits(now, row.age, &row.limits, effects);
-            for told in self.peers.hear(now, now.saturating_duration_since(opened), row) {
+            for told in self.peers.hear(now, now.saturating_duration_since(started), row) {
                 let (Told::Spent(account, _) | Told::Left(account, _)) = &told;
                 let usage = self.accounts.entry(account.clone());
-                let usage = usage.or_insert_with(|| allowance::open(opened));
+                let usage = usage.or_insert_with(|| allowance::open(started));
                 match told {
                     Told::Spent(_, units) => usage.charge(units as f64),
                     Told::Left(_, left) => {
@@ -149,23 +155,23 @@
     /// Updates everything that is derived from the rows of the other processes and their ages: the share of
     /// this process, the load of the targets and the decisions about rollouts.
     pub(super) fn update_peers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let gone = self.settings.gone;
-        self.peers.forget(now, gone);
+        let peer_timeout = self.settings.peer_timeout;
+        self.peers.forget(now, peer_timeout);
         self.crashes.forget(now);
-        let mut addresses = self.peers.active_addresses(now, gone);
+        let mut addresses = self.peers.active_addresses(now, peer_timeout);
         let own = self.settings.address;
         addresses.push(own);
         addresses.sort_unstable();
         let index = addresses.iter().position(|&address| address == own).unwrap_or_default();
-        self.place = Place { index: index as u32, among: addresses.len() as u32 };
+        self.process_index = Place { index: index as u32, among: addresses.len() as u32 };
         self.capacity.share(self.peers.addresses().count());
-        let heard = self.peers.heard(now, gone);
-        self.heard = heard as u32 + 1;
-        let together = self.peers.together(now, gone, own);
-        if together != self.together {
-            self.together = together;
+        let heard = self.peers.heard(now, peer_timeout);
+        self.current_processes = heard as u32 + 1;
+        let together = self.peers.together(now, peer_timeout, own);
+        if together != self.usable_parts {
+            self.usable_parts = together;
             self.next_grant = None;
-            let expected = self.peers.expected(now, gone);
+            let expected = self.peers.expected(now, peer_timeout);
             effects.push(Effect::Log(LogEntry::PeersChanged {
                 known: heard,
                 expected,
--- a/components/scheduler/tests/direct.rs
+++ b/components/scheduler/tests/direct.rs
@@ -5,25 +5,25 @@
 use std::{sync::Arc, time::Duration};
 
 use direct_support::{
-    FRESHNESS, Process, limit, plan, process, refusal, request, route, start, starts, target,
-    targets,
+    FRESHNESS, Process, configuration, limit, process, refusal, request, route, start, starts,
+    target, targets,
 };
 use scheduler::direct::{
     Effect, Event, Outcome, RefusalReason,
-    plan::{Account, Part, Repeat},
+    plan::{Account, PoolShare, Repeat},
 };
 use test_case::test_case;
 
 #[test]
 fn the_route_with_the_longest_matching_prefix_is_chosen() {
-    let mut short = route("/a/", Repeat::Safe);
+    let mut short = route("/a/", Repeat::Idempotent);
     short.name = "short".into();
-    let mut long = route("/a/b/", Repeat::Safe);
+    let mut long = route("/a/b/", Repeat::Idempotent);
     long.name = "long".into();
 
-    let plan = plan(1, vec![short, long], None);
+    let configuration = configuration(1, vec![short, long], None);
 
-    let route_name = |path| plan.route("host:80", path).map(|route| route.name.as_str());
+    let route_name = |path| configuration.route("host:80", path).map(|route| route.name.as_str());
     assert_eq!(route_name("/a/b/c"), Some("long"));
     assert_eq!(route_name("/a/bc"), Some("short"));
     assert_eq!(route_name("/b/"), None);
@@ -31,9 +31,11 @@
 
 #[test]
 fn requests_are_split_among_pools_by_weight() {
-    let mut split = route("/", Repeat::Safe);
-    split.parts =
-        vec![Part { pool: "a".into(), weight: 90 }, Part { pool: "b".into(), weight: 10 }];
+    let mut split = route("/", Repeat::Idempotent);
+    split.pools = vec![
+        PoolShare { pool: "a".into(), weight: 90 },
+        PoolShare { pool: "b".into(), weight: 10 },
+    ];
 
     let count =
         (0..1_000).filter(|&spread| split.pool(spread).is_some_and(|pool| pool == "b")).count();
@@ -49,7 +51,8 @@
     key: Option<&str>,
     reason: RefusalReason,
 ) {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(1));
     let mut invalid = request(1, path);
     invalid.api_key = key.map(str::to_owned);
 
@@ -63,7 +66,8 @@
 /// than the permitted time: they may have been revoked since.
 #[test]
 fn keys_are_refused_once_the_configuration_may_be_out_of_date() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(1));
     process.pass(FRESHNESS - Duration::from_millis(1));
     let before = process.arrive(request(1, "/a/"));
     process.pass(Duration::from_millis(1));
@@ -79,7 +83,8 @@
 /// an age of the configuration.
 #[test]
 fn time_in_suspension_counts_towards_the_age_of_the_configuration() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(1));
     // The steady clock doesn't advance while the host is suspended.
     process.now.boot += FRESHNESS;
 
@@ -90,9 +95,9 @@
 
 #[test]
 fn public_routes_are_served_with_an_outdated_configuration() {
-    let mut public = route("/a/", Repeat::Safe);
-    public.public = true;
-    let mut process = process(plan(1, vec![public], None), targets(1));
+    let mut public = route("/a/", Repeat::Idempotent);
+    public.is_public = true;
+    let mut process = process(configuration(1, vec![public], None), targets(1));
     process.pass(FRESHNESS * 2);
 
     let effects = process.arrive(request(1, "/a/"));
@@ -102,8 +107,9 @@
 
 #[test]
 fn an_older_configuration_does_not_replace_a_newer_one() {
-    let old = plan(1, vec![route("/old/", Repeat::Safe)], None);
-    let mut process = process(plan(2, vec![route("/new/", Repeat::Safe)], None), targets(1));
+    let old = configuration(1, vec![route("/old/", Repeat::Idempotent)], None);
+    let mut process =
+        process(configuration(2, vec![route("/new/", Repeat::Idempotent)], None), targets(1));
 
     process.send(Event::ConfigurationRead(Arc::new(old)));
     let effects = process.arrive(request(1, "/old/"));
@@ -113,7 +119,8 @@
 
 #[test]
 fn a_target_gets_no_more_concurrent_requests_than_it_has_slots() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(2));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(2));
 
     let dispatches = (0..9).map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len());
     let dispatched: usize = dispatches.sum();
@@ -123,10 +130,10 @@
 
 #[test]
 fn waiting_requests_of_a_higher_tier_are_dispatched_first() {
-    let mut low = route("/low/", Repeat::Safe);
+    let mut low = route("/low/", Repeat::Idempotent);
     low.rank = 1;
-    let plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
-    let mut process = process(plan, vec![target(1)]);
+    let configuration = configuration(1, vec![route("/high/", Repeat::Idempotent), low], None);
+    let mut process = process(configuration, vec![target(1)]);
     process.arrive(request(1, "/low/"));
     process.arrive(request(2, "/low/"));
     process.arrive(request(3, "/low/"));
@@ -140,13 +147,13 @@
 /// Returns a process whose only target has no free slot while two requests wait: ticket 3, of the account
 /// with the higher rank in the low tier, and ticket 4, of the account with the lower rank in the high tier.
 fn process_with_waiting_ranks() -> Process {
-    let mut low = route("/low/", Repeat::Safe);
+    let mut low = route("/low/", Repeat::Idempotent);
     low.rank = 1;
-    let mut plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
-    plan.accounts.insert("account".into(), Account { rank: 1, limit: None });
-    plan.accounts.insert("first".into(), Account { rank: 0, limit: None });
-    plan.keys.insert("first".into(), "first".into());
-    let mut process = process(plan, vec![target(1)]);
+    let mut configuration = configuration(1, vec![route("/high/", Repeat::Idempotent), low], None);
+    configuration.accounts.insert("account".into(), Account { rank: 1, limit: None });
+    configuration.accounts.insert("first".into(), Account { rank: 0, limit: None });
+    configuration.keys.insert("first".into(), "first".into());
+    let mut process = process(configuration, vec![target(1)]);
     process.arrive(request(1, "/high/"));
     process.arrive(request(2, "/high/"));
     let mut low_tier_request = request(3, "/low/");
@@ -177,7 +184,8 @@
 
 #[test]
 fn a_request_that_can_not_meet_its_target_latency_is_refused_with_a_retry_time() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), vec![]);
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), vec![]);
     process.arrive(request(1, "/a/"));
     let early = process.pass(Duration::from_millis(500));
 
@@ -191,7 +199,8 @@
 
 #[test]
 fn a_target_that_is_not_ready_gets_no_more_requests() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(2));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(2));
     let mut listed = targets(2);
     listed[0].is_ready = false;
     process.list(listed);
@@ -208,7 +217,8 @@
 /// platform: its list lacks them just after the outage.
 #[test]
 fn targets_missing_after_an_outage_are_used_until_live_ones_must_be_listed_again() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(1));
     process.pass(Duration::from_millis(3_500));
     process.confirm();
     process.list(Vec::new());
@@ -228,12 +238,12 @@
 #[test_case(Repeat::Never, Outcome::Unreachable => true; "unreached")]
 #[test_case(Repeat::Never, Outcome::Incomplete { crashed: true } => false; "lost")]
 #[test_case(Repeat::Never, Outcome::Failed => false; "failed")]
-#[test_case(Repeat::Safe, Outcome::Incomplete { crashed: true } => true; "safe and lost")]
-#[test_case(Repeat::Safe, Outcome::Failed => true; "safe and failed")]
-#[test_case(Repeat::Resume, Outcome::Unresponsive => true; "resumable and unresponsive")]
-#[test_case(Repeat::Resume, Outcome::DeadlineExceeded => false; "expired")]
+#[test_case(Repeat::Idempotent, Outcome::Incomplete { crashed: true } => true; "safe and lost")]
+#[test_case(Repeat::Idempotent, Outcome::Failed => true; "safe and failed")]
+#[test_case(Repeat::Resumable, Outcome::Unresponsive => true; "resumable and unresponsive")]
+#[test_case(Repeat::Resumable, Outcome::DeadlineExceeded => false; "expired")]
 fn a_request_is_dispatched_again_to_another_target(repeat: Repeat, outcome: Outcome) -> bool {
-    let mut process = process(plan(1, vec![route("/a/", repeat)], None), targets(3));
+    let mut process = process(configuration(1, vec![route("/a/", repeat)], None), targets(3));
     let first = start(&process.arrive(request(1, "/a/")));
 
     let effects = process.end(1, outcome);
@@ -245,7 +255,8 @@
 
 #[test]
 fn a_refusal_states_not_run_only_if_no_target_may_have_run_the_request() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Never)], None), targets(1));
     process.arrive(request(1, "/a/"));
     process.arrive(request(2, "/a/"));
 
@@ -260,7 +271,8 @@
 
 #[test]
 fn a_request_is_not_dispatched_again_beyond_the_attempts_of_its_route() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(5));
     process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Failed);
 
@@ -279,7 +291,8 @@
     count: u16,
     outcomes: &[Outcome],
 ) {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(count));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(count));
     process.pass(Duration::from_secs(30));
     process.confirm();
     process.arrive(request(1, "/a/"));
@@ -294,7 +307,8 @@
 
 #[test]
 fn a_dispatch_that_did_not_run_does_not_count_as_an_attempt() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(5));
     process.arrive(request(1, "/a/"));
     process.end(1, Outcome::Unreachable);
     process.end(1, Outcome::Rejected);
@@ -308,10 +322,10 @@
 /// too late.
 #[test]
 fn a_begun_answer_is_resumed_before_waiting_requests_of_higher_tiers() {
-    let mut low = route("/low/", Repeat::Resume);
+    let mut low = route("/low/", Repeat::Resumable);
     low.rank = 1;
-    let plan = plan(1, vec![route("/high/", Repeat::Safe), low], None);
-    let mut process = process(plan, vec![target(1), target(2)]);
+    let configuration = configuration(1, vec![route("/high/", Repeat::Idempotent), low], None);
+    let mut process = process(configuration, vec![target(1), target(2)]);
     process.arrive(request(1, "/low/"));
     for ticket in 2..6 {
         process.arrive(request(ticket, "/high/"));
@@ -326,7 +340,8 @@
 
 #[test]
 fn repeats_stay_within_the_retry_budget() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(5));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(5));
     // A process starts with an empty budget, since earlier processes may have used all that is allowed, and
     // earns it over a few windows.
     process.pass(Duration::from_secs(30));
@@ -345,7 +360,8 @@
 
 #[test]
 fn a_rejected_request_is_dispatched_to_an_untried_target_first() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(3));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Never)], None), targets(3));
     process.pass(Duration::from_secs(30));
     process.confirm();
     let mut tried = vec![start(&process.arrive(request(1, "/a/"))).target];
@@ -364,7 +380,8 @@
 
 #[test]
 fn a_request_whose_body_crashed_two_targets_is_quarantined() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(9));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(9));
     let mut crash = |ticket| {
         let mut poison = request(ticket, "/a/");
         poison.fingerprint = [9; 16];
@@ -387,7 +404,8 @@
 /// Guards against requests that are quarantined since connections to live targets broke off.
 #[test]
 fn a_request_whose_connections_to_live_targets_broke_off_is_not_quarantined() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(9));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(9));
     for ticket in 1..5 {
         let mut unlucky = request(ticket, "/a/");
         unlucky.fingerprint = [9; 16];
@@ -405,8 +423,9 @@
 
 #[test]
 fn requests_beyond_an_account_limit_are_refused_with_a_retry_time() {
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(100.0)));
-    let mut process = process(plan, targets(9));
+    let configuration =
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(100.0)));
+    let mut process = process(configuration, targets(9));
 
     let refused = (0..40).find_map(|ticket| {
         let effects = process.arrive(request(ticket, "/a/"));
@@ -421,31 +440,34 @@
 
 #[test]
 fn units_of_a_request_that_ran_are_not_refunded() {
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
-    let mut process = process(plan, targets(9));
+    let configuration =
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(1_000.0)));
+    let mut process = process(configuration, targets(9));
     process.arrive(request(1, "/a/"));
 
     process.end(1, Outcome::Completed);
 
     let now = process.now.steady;
-    assert_eq!(process.state.row(now).accounts[0].spent, 110);
+    assert_eq!(process.state.next_row(now).accounts[0].spent, 110);
 }
 
 #[test]
 fn units_of_a_request_that_did_not_run_are_refunded() {
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
-    let mut process = process(plan, Vec::new());
+    let configuration =
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(1_000.0)));
+    let mut process = process(configuration, Vec::new());
     process.arrive(request(1, "/a/"));
 
     process.pass(Duration::from_secs(1));
 
     let now = process.now.steady;
-    assert_eq!(process.state.row(now).accounts[0].spent, 0);
+    assert_eq!(process.state.next_row(now).accounts[0].spent, 0);
 }
 
 #[test]
 fn a_draining_process_accepts_only_requests_with_deadlines_before_its_end() {
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets(1));
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets(1));
     let end = process.now.steady + Duration::from_secs(4);
     process.send(Event::Drain { end });
     let mut short = request(1, "/a/");
--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, blank, limit, plan, process, request, reservations, route, start, starts, target,
+    Process, blank, configuration, limit, process, request, reservations, route, start, starts,
+    target,
 };
 use model::reservation::Load;
 use scheduler::direct::{
@@ -29,8 +30,8 @@
 
 /// An entry process with one route whose streams can be resumed and one whose requests aren't repeated.
 fn entry(targets: Vec<Target>) -> Process {
-    let routes = vec![route("/resume/", Repeat::Resume), route("/never/", Repeat::Never)];
-    process(plan(1, routes, Some(limit(100_000.0))), targets)
+    let routes = vec![route("/resume/", Repeat::Resumable), route("/never/", Repeat::Never)];
+    process(configuration(1, routes, Some(limit(100_000.0))), targets)
 }
 
 /// Numbers of the reservations that are withdrawn.
@@ -88,7 +89,7 @@
     for number in 0..others {
         let mut other = blank(50 + number);
         other.now = entry.now;
-        let row = other.state.row(other.now.steady);
+        let row = other.state.next_row(other.now.steady);
         entry.send(Event::RowsReceived(vec![row]));
     }
 }
@@ -237,11 +238,11 @@
     let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
-    let reached = entry.state.row(entry.now.steady).running;
+    let reached = entry.state.next_row(entry.now.steady).running;
     entry.arrive(request(2, "/never/"));
 
     deny(&mut entry, 2, 1, DenialReason::AgentUnreachable);
-    let unreachable = entry.state.row(entry.now.steady).running;
+    let unreachable = entry.state.next_row(entry.now.steady).running;
 
     assert!(reached.is_empty(), "{reached:?}");
     assert_eq!(unreachable.iter().map(|busy| busy.requests).sum::<u32>(), 1, "{unreachable:?}");
@@ -306,8 +307,8 @@
     const PATIENCE: Duration = Duration::from_secs(30);
     // Retries that the budget allows in a window without new requests that follows another such window.
     const MAX_RETRIES: usize = 50;
-    let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resume) };
-    let mut entry = process(plan(1, vec![patient], None), targets_with_agents(99));
+    let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resumable) };
+    let mut entry = process(configuration(1, vec![patient], None), targets_with_agents(99));
     for _ in 0..30 {
         entry.pass(Duration::from_secs(1));
         entry.confirm();
--- a/components/scheduler/tests/direct_agents_fuzz.rs
+++ b/components/scheduler/tests/direct_agents_fuzz.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use direct_support::{Process, address, plan, process, request, route, target};
+use direct_support::{Process, address, configuration, process, request, route, target};
 use model::reservation::{Ask, Id};
 use proptest::{
     prelude::*,
@@ -85,7 +85,7 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let repeat = prop_oneof![Just(Repeat::Safe), Just(Repeat::Never)];
+    let repeat = prop_oneof![Just(Repeat::Idempotent), Just(Repeat::Never)];
     let outcome = prop_oneof![
         4 => Just(Outcome::Completed),
         1 => Just(Outcome::Rejected),
@@ -107,12 +107,12 @@
 }
 
 fn world() -> World {
-    let routes = vec![route("/safe/", Repeat::Safe), route("/never/", Repeat::Never)];
+    let routes = vec![route("/safe/", Repeat::Idempotent), route("/never/", Repeat::Never)];
     let agent = |number| Some(address(2_000 + number));
     let targets: Vec<Target> = (0..TARGET_COUNT)
         .map(|number| Target { agent_address: agent(number), ..target(number) })
         .collect();
-    let entry = |_| process(plan(1, routes.clone(), None), targets.clone());
+    let entry = |_| process(configuration(1, routes.clone(), None), targets.clone());
     let grant = Duration::from_secs(10);
     let room = Room { slots: SLOTS_PER_TARGET, tokens: u64::MAX, waiting: 100, grant };
     let policy = Policy { floor: 0.05, newest: true, ..Policy::first() };
@@ -269,7 +269,7 @@
         match step {
             Step::Arrive { entry, repeat } => {
                 self.arrived += 1;
-                let path = if repeat == Repeat::Safe { "/safe/" } else { "/never/" };
+                let path = if repeat == Repeat::Idempotent { "/safe/" } else { "/never/" };
                 let spread = self.arrived.wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 let request = direct::Request { spread, ..request(self.arrived, path) };
                 self.send_to_entry(entry, None, Event::RequestReceived(request));
--- a/components/scheduler/tests/direct_crashes.rs
+++ b/components/scheduler/tests/direct_crashes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, blank, fetches, limit, plan, process, refusals, request, route, settings, start,
-    starts, targets,
+    Process, blank, configuration, fetches, limit, process, refusals, request, route, settings,
+    start, starts, targets,
 };
 use scheduler::direct::{
     self, Event, Outcome, Request, Ticket,
@@ -31,7 +31,9 @@
     settings.incarnation = incarnation;
     let state = direct::open(clock.now.steady, settings);
     let mut entry = Process { state, now: clock.now, ..blank(number) };
-    entry.send(Event::ConfigurationRead(plan(1, vec![route("/a/", Repeat::Safe)], None).into()));
+    entry.send(Event::ConfigurationRead(
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], None).into(),
+    ));
     entry.confirm();
     entry.list(targets(9));
     entry
@@ -64,7 +66,7 @@
 /// Lets a process receive the other's row and offer and fetch the topics in which the other is ahead,
 /// which are returned.
 fn receive_from(entry: &mut Process, other: &mut Process) -> Vec<Topic> {
-    let row = other.state.row(other.now.steady);
+    let row = other.state.next_row(other.now.steady);
     entry.send(Event::RowsReceived(vec![row]));
     let (topics, _) = entry.hear_offer(other);
     topics.iter().for_each(|&topic| drop(entry.fetch(other, topic)));
@@ -78,7 +80,7 @@
 
 /// Returns the size in bytes of the row and the offer that a process sends in each exchange.
 fn exchange_size(entry: &mut Process) -> usize {
-    let row = entry.state.row(entry.now.steady);
+    let row = entry.state.next_row(entry.now.steady);
     let offer = entry.state.offer(entry.now);
     serde_json::to_vec(&(row, offer)).expect("a row and an offer can be packed").len()
 }
@@ -188,7 +190,7 @@
 /// Guards against bodies that are refused because a process could not connect to a target that is alive.
 #[test]
 fn a_broken_answer_counts_no_crash_if_its_target_took_a_connection_afterwards() {
-    let mut entry = process(plan(1, vec![route("/a/", Repeat::Never)], None), targets(4));
+    let mut entry = process(configuration(1, vec![route("/a/", Repeat::Never)], None), targets(4));
     for ticket in 1..=2 {
         let target = start(&entry.arrive(request_with_body(ticket, 0))).target;
         entry.end(ticket, Outcome::Incomplete { crashed: true });
@@ -214,16 +216,16 @@
 /// Guards against rows that contain every account that ever sent a request, through any process.
 #[test]
 fn rows_do_not_grow_with_the_accounts_that_ever_sent_requests() {
-    let mut plan = plan(1, vec![route("/a/", Repeat::Never)], Some(limit(1e6)));
+    let mut configuration = configuration(1, vec![route("/a/", Repeat::Never)], Some(limit(1e6)));
     for number in 0..500 {
         let name = format!("account-{number}");
         let account = Account { rank: 0, limit: Some(limit(1e6)) };
-        plan.accounts.insert(name.as_str().into(), account);
-        plan.keys.insert(format!("key-{number}").as_str().into(), name.as_str().into());
+        configuration.accounts.insert(name.as_str().into(), account);
+        configuration.keys.insert(format!("key-{number}").as_str().into(), name.as_str().into());
     }
-    let mut entry = process(plan, targets(4));
+    let mut entry = process(configuration, targets(4));
     let row_size = |entry: &mut Process| {
-        let row = entry.state.row(entry.now.steady);
+        let row = entry.state.next_row(entry.now.steady);
         serde_json::to_vec(&row).expect("a row can be packed").len()
     };
     let before = row_size(&mut entry);
--- a/components/scheduler/tests/direct_eras.rs
+++ b/components/scheduler/tests/direct_eras.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    FRESHNESS, Process, address, plan, process, refusal, request, route, settings, starts, target,
-    targets,
+    FRESHNESS, Process, address, configuration, process, refusal, request, route, settings, starts,
+    target, targets,
 };
 use scheduler::direct::{self, Event, RefusalReason, Target, plan::Repeat};
 
@@ -20,7 +20,7 @@
 
 /// Returns a process with a configuration of this version and two targets.
 fn serving_process(version: u64) -> Process {
-    process(plan(version, vec![route("/a/", Repeat::Safe)], None), targets(2))
+    process(configuration(version, vec![route("/a/", Repeat::Idempotent)], None), targets(2))
 }
 
 /// Restores the platform from a backup whose newest configuration has this version.
@@ -139,7 +139,9 @@
 fn process_started_in_second_era(other: &Process) -> Process {
     let state = direct::open(other.now.steady, settings(2));
     let mut process = Process { state, now: other.now, era: 2, address: address(2) };
-    process.send(Event::ConfigurationRead(plan(6, vec![route("/a/", Repeat::Safe)], None).into()));
+    process.send(Event::ConfigurationRead(
+        configuration(6, vec![route("/a/", Repeat::Idempotent)], None).into(),
+    ));
     process.list(targets(2));
     confirm(&mut process, 6);
     process
--- a/components/scheduler/tests/direct_fuzz.rs
+++ b/components/scheduler/tests/direct_fuzz.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use direct_support::{Process, limit, plan, process, request, route, targets};
+use direct_support::{Process, configuration, limit, process, request, route, targets};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
@@ -74,7 +74,8 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let repeat = prop_oneof![Just(Repeat::Safe), Just(Repeat::Resume), Just(Repeat::Never)];
+    let repeat =
+        prop_oneof![Just(Repeat::Idempotent), Just(Repeat::Resumable), Just(Repeat::Never)];
     let outcome = prop_oneof![
         4 => Just(Outcome::Completed),
         1 => Just(Outcome::Rejected),
@@ -173,17 +174,18 @@
 /// Returns the path of the route that allows these retries.
 fn path(retry_policy: Repeat) -> &'static str {
     match retry_policy {
-        Repeat::Safe => "/safe/",
-        Repeat::Resume => "/resume/",
+        Repeat::Idempotent => "/safe/",
+        Repeat::Resumable => "/resume/",
         Repeat::Never => "/never/",
     }
 }
 
 /// Runs the steps, then lets all waits end, and checks that each request has ended or is still in flight.
 fn run(steps: Vec<Step>) {
-    let policies = [Repeat::Safe, Repeat::Resume, Repeat::Never];
+    let policies = [Repeat::Idempotent, Repeat::Resumable, Repeat::Never];
     let routes = policies.map(|policy| route(path(policy), policy)).to_vec();
-    let mut process = process(plan(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
+    let mut process =
+        process(configuration(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
     let mut oracle = Oracle::default();
     oracle.list(&mut process, TARGET_COUNT);
     for (ticket, step) in (0..).zip(steps) {
@@ -207,7 +209,7 @@
                 // Only a target that ran the request can have sent a part of the answer, and only a stream is
                 // passed on before it is complete.
                 let begun =
-                    begun && outcome.may_have_run() && request.retry_policy == Repeat::Resume;
+                    begun && outcome.may_have_run() && request.retry_policy == Repeat::Resumable;
                 request.running_at = None;
                 request.may_seek = false;
                 request.possible_runs += usize::from(outcome.may_have_run());
--- a/components/scheduler/tests/direct_holds.rs
+++ b/components/scheduler/tests/direct_holds.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, plan, process, request, route, starts, target};
+use direct_support::{Process, configuration, process, request, route, starts, target};
 use scheduler::direct::{Outcome, plan::Repeat};
 use test_case::test_case;
 
@@ -17,9 +17,9 @@
 
 /// A process with a high and a low tier, before one target with two slots.
 fn two_tiers() -> Process {
-    let mut low = route("/low/", Repeat::Resume);
+    let mut low = route("/low/", Repeat::Resumable);
     low.rank = 1;
-    process(plan(1, vec![route("/high/", Repeat::Resume), low], None), vec![target(1)])
+    process(configuration(1, vec![route("/high/", Repeat::Resumable), low], None), vec![target(1)])
 }
 
 /// Serves requests of a tier that each hold their slot for `held`, with tickets from `first_ticket` on.
--- a/components/scheduler/tests/direct_lengths.rs
+++ b/components/scheduler/tests/direct_lengths.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, address, expecting, plan, process, reservations, route, start, starts, target,
+    Process, address, configuration, expecting, process, reservations, route, start, starts, target,
 };
 use model::reservation::Load;
 use scheduler::direct::{Effect, Event, Outcome, Request, Reservation, Target, plan::Repeat};
@@ -48,7 +48,7 @@
     let numbers = (0..TARGET_COUNT).filter(|number| !slow_only || !number.is_multiple_of(3));
     let agent = |number| Some(address(2_000 + number));
     let targets = numbers.map(|number| Target { agent_address: agent(number), ..target(number) });
-    process(plan(1, vec![route("/a/", Repeat::Resume)], None), targets.collect())
+    process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), targets.collect())
 }
 
 /// An entry process that received the speed of its targets with the grants of earlier requests.
@@ -100,7 +100,8 @@
 fn a_grant_of_a_target_that_is_too_slow_is_withdrawn_and_another_target_is_reserved() {
     let agent = |number| Some(address(2_000 + number));
     let two = (0..2).map(|number| Target { agent_address: agent(number), ..target(number) });
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Resume)], None), two.collect());
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), two.collect());
     let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
     let fast = reserved.iter().find(|reserved| is_fast(&reserved.target));
     grant(&mut process, fast.expect("the request is reserved at both targets"), FAST_STEP);
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -10,8 +10,8 @@
 };
 
 use direct_support::{
-    GONE, Process, WINDOW, address, blank, limit, plan, refusals, request, route, settings, starts,
-    targets,
+    GONE, Process, WINDOW, address, blank, configuration, limit, refusals, request, route,
+    settings, starts, targets,
 };
 use proptest::{
     prelude::*,
@@ -20,7 +20,7 @@
 use scheduler::direct::{
     self, Effect, Event, Now, Outcome, Registration, Ticket, Tokens,
     allowance::Tolerance,
-    plan::{Part, Repeat, Route},
+    plan::{PoolShare, Repeat, Route},
 };
 use test_case::test_case;
 
@@ -108,8 +108,8 @@
     settings.tolerance = TOLERANCE;
     let address = settings.address;
     let mut process = Process { state: direct::open(now.steady, settings), now, address, era: 1 };
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(RATE)));
-    process.send(Event::ConfigurationRead(Arc::new(plan)));
+    let configuration = configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(RATE)));
+    process.send(Event::ConfigurationRead(Arc::new(configuration)));
     process.list(targets(60));
     process
 }
@@ -201,8 +201,8 @@
                     continue;
                 }
                 let now = self.processes[0].now.steady;
-                let from_a = self.processes[usize::from(a)].state.row(now);
-                let from_b = self.processes[usize::from(b)].state.row(now);
+                let from_a = self.processes[usize::from(a)].state.next_row(now);
+                let from_b = self.processes[usize::from(b)].state.next_row(now);
                 self.run(b, |process| process.send(Event::RowsReceived(vec![from_a])));
                 self.run(a, |process| process.send(Event::RowsReceived(vec![from_b])));
                 self.fetch(a, b);
@@ -402,7 +402,7 @@
         fleet.overload(step, 0);
     }
 
-    assert!(fleet.processes[0].state.is_lonely(fleet.processes[0].now.steady));
+    assert!(fleet.processes[0].state.is_missing_peers(fleet.processes[0].now.steady));
     assert!(
         fleet.max_window_units <= allowed_units(),
         "{} of {}",
@@ -528,12 +528,16 @@
 /// free target, stayed charged at all other processes, which refused the account far below its limit.
 #[test]
 fn units_that_another_process_gave_back_are_not_counted_as_used() {
-    let no_targets = Part { pool: "no-targets".into(), weight: 1 };
-    let no_targets = Route { parts: vec![no_targets], ..route("/b/", Repeat::Safe) };
-    let plan = Arc::new(plan(1, vec![route("/a/", Repeat::Safe), no_targets], Some(limit(RATE))));
+    let no_targets = PoolShare { pool: "no-targets".into(), weight: 1 };
+    let no_targets = Route { pools: vec![no_targets], ..route("/b/", Repeat::Idempotent) };
+    let configuration = Arc::new(configuration(
+        1,
+        vec![route("/a/", Repeat::Idempotent), no_targets],
+        Some(limit(RATE)),
+    ));
     let mut processes = [1, 2].map(blank);
     for process in &mut processes {
-        process.send(Event::ConfigurationRead(Arc::clone(&plan)));
+        process.send(Event::ConfigurationRead(Arc::clone(&configuration)));
         process.confirm();
         process.list(targets(60));
     }
@@ -541,7 +545,7 @@
         let rows = processes.each_mut().map(|process| {
             process.pass(time);
             process.confirm();
-            process.state.row(process.now.steady)
+            process.state.next_row(process.now.steady)
         });
         let [first, second] = processes;
         let [of_first, of_second] = rows;
@@ -575,8 +579,9 @@
 fn a_request_that_would_wait_too_long_for_units_is_refused_at_once_with_a_retry_time() {
     // A target latency of 800 ms gives a longest wait of 600 ms, of which 240 ms may pass while a request
     // waits for units: the time that the units of two requests take.
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
-    let mut process = direct_support::process(plan, targets(99));
+    let configuration =
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(1_000.0)));
+    let mut process = direct_support::process(configuration, targets(99));
     let request = |ticket| {
         let tokens = Some(Tokens { prompt: 100, max_output: 0 });
         direct::Request { tokens, ..direct_support::request(ticket, "/a/") }
--- a/components/scheduler/tests/direct_paces.rs
+++ b/components/scheduler/tests/direct_paces.rs
@@ -10,7 +10,9 @@
     time::{Duration, Instant},
 };
 
-use direct_support::{Process, address, expecting, plan, process, reservations, route, target};
+use direct_support::{
+    Process, address, configuration, expecting, process, reservations, route, target,
+};
 use model::reservation::{Ask, Id, Load};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
@@ -112,7 +114,8 @@
     let targets = (0..loads.len() as u16)
         .map(|n| Target { agent_address: Some(address(2_000 + n)), ..target(n) })
         .collect();
-    let mut process = process(plan(1, vec![route("/a/", Repeat::Resume)], None), targets);
+    let mut process =
+        process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), targets);
     let mut reported = BTreeSet::new();
     for ticket in 10_000..10_000 + 70 * loads.len() as Ticket {
         let reserved = reservations(&process.arrive(expecting(ticket, 1)));
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -22,7 +22,8 @@
     let mut processes: Vec<Process> = (1..=count).map(blank).collect();
     // A row lists only processes whose rows had arrived before, so it takes two rounds.
     for _ in 0..2 {
-        let rows: Vec<Row> = processes.iter_mut().map(|it| it.state.row(it.now.steady)).collect();
+        let rows: Vec<Row> =
+            processes.iter_mut().map(|it| it.state.next_row(it.now.steady)).collect();
         for process in &mut processes {
             process.send(Event::RowsReceived(rows.clone()));
         }
@@ -84,8 +85,8 @@
     let mut processes = processes(count);
     let others = usize::from(count) - 1;
     let process = &mut processes[others / 2];
-    let own_size = packed_size(&[process.state.row(process.now.steady)]);
-    let full_size = own_size + packed_size(&process.state.rows(process.now.steady));
+    let own_size = packed_size(&[process.state.next_row(process.now.steady)]);
+    let full_size = own_size + packed_size(&process.state.peer_rows(process.now.steady));
 
     // Each pair exchanges once a period; either side sends its own row or all rows.
     let sent = |exchange: u64| {
--- a/components/scheduler/tests/direct_plain.rs
+++ b/components/scheduler/tests/direct_plain.rs
@@ -14,7 +14,9 @@
     time::Duration,
 };
 
-use direct_support::{Process, address, blank, plan, refusals, request, route, starts, target};
+use direct_support::{
+    Process, address, blank, configuration, refusals, request, route, starts, target,
+};
 use model::reservation::{Ask, Id};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
@@ -117,9 +119,9 @@
 fn entry(number: usize, other_targets: &[Target]) -> Process {
     let mut entry = blank(number as u16 + 1);
     let mut call = route("/call/", Repeat::Never);
-    call.aim = Duration::from_millis(ON_TIME_MS);
+    call.target_latency = Duration::from_millis(ON_TIME_MS);
     call.timeout = Duration::from_millis(800);
-    entry.send(Event::ConfigurationRead(plan(1, vec![call], None).into()));
+    entry.send(Event::ConfigurationRead(configuration(1, vec![call], None).into()));
     entry.confirm();
     entry.list([&plain_targets()[..], other_targets].concat());
     entry
@@ -299,7 +301,7 @@
     fn broadcast_row(&mut self, from: usize) {
         self.entries[from].confirm();
         let now = self.entries[from].now.steady;
-        let row = self.entries[from].state.row(now);
+        let row = self.entries[from].state.next_row(now);
         for to in (0..ENTRY_COUNT).filter(|&to| to != from) {
             self.send(to, Event::RowsReceived(vec![row.clone()]));
         }
--- a/components/scheduler/tests/direct_relay.rs
+++ b/components/scheduler/tests/direct_relay.rs
@@ -6,11 +6,12 @@
 use std::{sync::Arc, time::Duration};
 
 use direct_support::{
-    Process, blank, fetches, plan, process, refusal, request, route, starts, target, targets,
+    Process, blank, configuration, fetches, process, refusal, request, route, starts, target,
+    targets,
 };
 use scheduler::direct::{
     Effect, Event, LogEntry, RefusalReason,
-    plan::{Plan, Repeat},
+    plan::{Configuration, Repeat},
     relay::Topic,
 };
 
@@ -34,10 +35,10 @@
 const LEAVE_TIME: Duration = Duration::from_millis(2_000);
 
 /// Returns a configuration with a route for keys (`/a/`) and a public one (`/open/`).
-fn routes(version: u64) -> Plan {
-    let mut public = route("/open/", Repeat::Safe);
-    public.public = true;
-    plan(version, vec![route("/a/", Repeat::Safe), public], None)
+fn routes(version: u64) -> Configuration {
+    let mut public = route("/open/", Repeat::Idempotent);
+    public.is_public = true;
+    configuration(version, vec![route("/a/", Repeat::Idempotent), public], None)
 }
 
 /// Returns a process that read the configuration and two targets from the platform, and one that got
@@ -365,6 +366,7 @@
 
     process.arrive(request(1, "/open/"));
 
-    let view = process.state.view(1, process.now.steady).expect("the request was dispatched");
+    let view =
+        process.state.dispatch_view(1, process.now.steady).expect("the request was dispatched");
     assert_eq!(view.list_age, Some(SHORT_OUTAGE));
 }
--- a/components/scheduler/tests/direct_repeats.rs
+++ b/components/scheduler/tests/direct_repeats.rs
@@ -37,7 +37,7 @@
 /// before it or of the one that begins half a window earlier, whichever had most: retries that were earned in
 /// one window may be made in the next.
 fn worst_window(world: &World) -> (usize, usize) {
-    let rule = settings(1).repeats;
+    let rule = settings(1).retry_budget;
     let window = rule.window.as_millis() as u64;
     let requests_in =
         |range: Range<u64>| world.requests.iter().filter(|at| range.contains(at)).count();
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, limit, plan, process, refusal, request, route, settings, start, starts, target,
-    targets,
+    Process, configuration, limit, process, refusal, request, route, settings, start, starts,
+    target, targets,
 };
 use scheduler::direct::{
     self, Effect, Event, LogEntry, Outcome, RefusalReason, Target,
@@ -24,7 +24,7 @@
 
 /// Returns a process that uses these targets.
 fn serving_process(targets: Vec<Target>) -> Process {
-    process(plan(1, vec![route("/a/", Repeat::Safe)], None), targets)
+    process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets)
 }
 
 /// Returns a target with this incarnation; that of the fixture's targets is 1.
@@ -123,7 +123,7 @@
 fn requests_of_peers_at_an_earlier_incarnation_do_not_count() {
     let mut process = serving_process(vec![restarted(1, 2)]);
     let mut peer = direct::open(process.now.steady, settings(2));
-    let mut row = peer.row(process.now.steady);
+    let mut row = peer.next_row(process.now.steady);
     let busy = Busy { target: "target-1".into(), incarnation: 1, requests: 2, unread: 0 };
     row.running = vec![busy];
 
@@ -137,7 +137,7 @@
 fn a_restart_counts_as_a_crash_caused_by_requests_that_broke_off_before() {
     let poison = |ticket| direct::Request { fingerprint: [7; 16], ..request(ticket, "/a/") };
     let routes = vec![route("/a/", Repeat::Never)];
-    let mut process = process(plan(1, routes, Some(limit(1e6))), vec![target(1)]);
+    let mut process = process(configuration(1, routes, Some(limit(1e6))), vec![target(1)]);
     process.pass(Duration::from_secs(1));
     for ticket in 1..=2 {
         assert_eq!(starts(&process.arrive(poison(ticket))).len(), 1);
--- a/components/scheduler/tests/direct_resumed.rs
+++ b/components/scheduler/tests/direct_resumed.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, plan, process, refusals, request, route, starts, target, targets};
+use direct_support::{
+    Process, configuration, process, refusals, request, route, starts, target, targets,
+};
 use scheduler::direct::{Effect, Event, Outcome, Ticket, plan::Repeat};
 use test_case::test_case;
 
@@ -14,8 +16,10 @@
 
 /// Returns a process with `target_count` targets and a retry budget that isn't empty.
 fn entry_process(target_count: u16) -> Process {
-    let mut entry =
-        process(plan(1, vec![route("/resume/", Repeat::Resume)], None), targets(target_count));
+    let mut entry = process(
+        configuration(1, vec![route("/resume/", Repeat::Resumable)], None),
+        targets(target_count),
+    );
     // The retry budget fills with time.
     entry.pass(Duration::from_secs(30));
     entry.confirm();
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use direct_support::{Process, address, blank, plan, request, route, starts, target};
+use direct_support::{Process, address, blank, configuration, request, route, starts, target};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::direct::{
     Effect, Event, LogEntry, Outcome, Target, Ticket,
@@ -109,8 +109,8 @@
     if let Some(clock) = clock {
         process.now = clock.now;
     }
-    let routes = vec![route("/a/", Repeat::Safe), route("/b/", Repeat::Never)];
-    process.send(Event::ConfigurationRead(plan(1, routes, None).into()));
+    let routes = vec![route("/a/", Repeat::Idempotent), route("/b/", Repeat::Never)];
+    process.send(Event::ConfigurationRead(configuration(1, routes, None).into()));
     process.confirm();
     process.list(targets("v1", 0));
     process
@@ -217,7 +217,7 @@
     fn exchange_rows(&mut self) {
         for from in 0..self.processes.len() {
             let now = self.processes[from].now.steady;
-            let row = self.processes[from].state.row(now);
+            let row = self.processes[from].state.next_row(now);
             for to in 0..self.processes.len() {
                 if from != to && !self.isolated.contains(&from) && !self.isolated.contains(&to) {
                     self.deliver(to, &row);
@@ -282,7 +282,7 @@
 
     fn is_at_old_target(&self, index: usize, ticket: Ticket) -> bool {
         let process = &self.processes[index];
-        let target = process.state.target(ticket);
+        let target = process.state.target_of(ticket);
         target.is_some_and(|target| target.version == "v1")
     }
 
@@ -396,11 +396,11 @@
     world.isolated.insert(0);
     // The rows of its peers stay fresh for a while.
     world.run(100);
-    let before = world.processes[0].state.exposed("pool");
+    let before = world.processes[0].state.dispatches_to_ordered_version("pool");
 
     world.run(400);
 
-    assert_eq!(world.processes[0].state.exposed("pool"), before);
+    assert_eq!(world.processes[0].state.dispatches_to_ordered_version("pool"), before);
 }
 
 /// The counts in the rows of a process begin at zero after its restart, so the totals shrink: answers must
@@ -463,7 +463,7 @@
         process.arrive(request(ticket, "/a/"));
     }
 
-    assert_eq!(process.state.exposed("pool"), 0);
+    assert_eq!(process.state.dispatches_to_ordered_version("pool"), 0);
     assert_eq!(process.state.reports().len(), 1);
 }
 
@@ -474,7 +474,7 @@
     let mut second = started_process(1, None);
     first.send(Event::RolloutOrdered(order()));
 
-    let row = first.state.row(first.now.steady);
+    let row = first.state.next_row(first.now.steady);
     second.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(second.state.reports()[0].target, "v2");
@@ -520,7 +520,7 @@
 
     first.era += 1;
     first.confirm();
-    let row = second.state.row(second.now.steady);
+    let row = second.state.next_row(second.now.steady);
     first.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(first.state.reports(), [stored]);
--- a/components/scheduler/tests/direct_silent.rs
+++ b/components/scheduler/tests/direct_silent.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, plan, process, refusals, request, route, start, starts, targets};
+use direct_support::{
+    Process, configuration, process, refusals, request, route, start, starts, targets,
+};
 use model::reservation::Load;
 use scheduler::direct::{
     Effect, Event, Outcome, Target, Ticket,
@@ -18,12 +20,12 @@
 /// Returns an entry process with these targets and a filled retry budget.
 fn entry(targets: Vec<Target>) -> Process {
     let routes = vec![
-        route("/resume/", Repeat::Resume),
-        route("/safe/", Repeat::Safe),
-        Route { stream: true, ..route("/safe-stream/", Repeat::Safe) },
+        route("/resume/", Repeat::Resumable),
+        route("/safe/", Repeat::Idempotent),
+        Route { is_stream: true, ..route("/safe-stream/", Repeat::Idempotent) },
         route("/never/", Repeat::Never),
     ];
-    let mut entry = process(plan(1, routes, None), targets);
+    let mut entry = process(configuration(1, routes, None), targets);
     // The retry budget fills over time.
     entry.pass(Duration::from_secs(30));
     entry.confirm();
@@ -68,7 +70,7 @@
     (0..40).for_each(|_| effects.extend(entry.pass(100 * MILLISECOND)));
 
     assert!(move_destinations(&effects).is_empty() && refusals(&effects).is_empty(), "{effects:?}");
-    assert!(entry.state.target(1).is_some());
+    assert!(entry.state.target_of(1).is_some());
 }
 
 /// Guards against a stream that makes no progress although another target has a free slot.
@@ -79,7 +81,7 @@
     dispatch_requests(&mut entry, 2..5);
     stall(&mut entry, 1, true);
     let at_other_target = (2..5).find(|&ticket| {
-        let target = entry.state.target(ticket);
+        let target = entry.state.target_of(ticket);
         target.is_some_and(|target| target.name != first)
     });
 
@@ -107,7 +109,7 @@
     effects.extend(entry.pass(100 * MILLISECOND));
 
     assert!(move_destinations(&effects).is_empty(), "{effects:?}");
-    assert_eq!(entry.state.target(1).map(|target| &target.name), Some(&first));
+    assert_eq!(entry.state.target_of(1).map(|target| &target.name), Some(&first));
 }
 
 /// Guards against complete answers that are discarded since a slot is held at another target.
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -14,7 +14,7 @@
     Target, Ticket, Tokens,
     allowance::Tolerance,
     budget::Rule,
-    plan::{Account, Limit, Part, Plan, Repeat, Route},
+    plan::{Account, Configuration, Limit, PoolShare, Repeat, Route},
     relay::{Era, Listing, Position, Topic},
 };
 
@@ -48,11 +48,11 @@
         address: address(number),
         incarnation: u64::from(number),
         zone: "north".into(),
-        freshness: FRESHNESS,
-        gone: GONE,
-        repeats: Rule { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
+        max_configuration_age: FRESHNESS,
+        peer_timeout: GONE,
+        retry_budget: Rule { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
         tolerance: Tolerance { ratio: 0.1, slack: 1_000.0, window: WINDOW },
-        exposure: 0.1,
+        trial_share: 0.1,
     }
 }
 
@@ -65,9 +65,9 @@
 }
 
 /// Returns a process with a confirmed configuration and a list of targets.
-pub fn process(plan: Plan, targets: Vec<Target>) -> Process {
+pub fn process(configuration: Configuration, targets: Vec<Target>) -> Process {
     let mut process = blank(1);
-    process.send(Event::ConfigurationRead(Arc::new(plan)));
+    process.send(Event::ConfigurationRead(Arc::new(configuration)));
     process.confirm();
     process.list(targets);
     // The first read counts as the end of an outage, after which targets that vanish from the list are used
@@ -145,29 +145,30 @@
         host: "host".into(),
         prefix: prefix.into(),
         repeat,
-        stream: repeat == Repeat::Resume,
+        is_stream: repeat == Repeat::Resumable,
         timeout: Duration::from_secs(5),
-        aim: Duration::from_millis(800),
+        target_latency: Duration::from_millis(800),
         rank: 0,
-        attempts: 2,
-        public: false,
-        parts: vec![Part { pool: "pool".into(), weight: 1 }],
+        max_attempts: 2,
+        is_public: false,
+        pools: vec![PoolShare { pool: "pool".into(), weight: 1 }],
     }
 }
 
 /// Returns an account limit of `rate` units a second that allows a burst of one second's units. A request
 /// without token counts takes 200 units.
 pub fn limit(rate: f64) -> Limit {
-    Limit { rate, burst: rate, plain: 200.0, tokens: true }
+    Limit { rate, burst: rate, default_units: 200.0, counts_tokens: true }
 }
 
 /// Returns a configuration with the given routes and one account, whose key is `key`.
-pub fn plan(version: u64, routes: Vec<Route>, limit: Option<Limit>) -> Plan {
-    let mut plan = Plan { version, body_max: 1 << 20, ..Plan::default() };
-    routes.into_iter().for_each(|route| plan.insert(route));
-    plan.accounts.insert("account".into(), Account { rank: 0, limit });
-    plan.keys.insert("key".into(), "account".into());
-    plan
+pub fn configuration(version: u64, routes: Vec<Route>, limit: Option<Limit>) -> Configuration {
+    let mut configuration =
+        Configuration { version, max_body_bytes: 1 << 20, ..Configuration::default() };
+    routes.into_iter().for_each(|route| configuration.insert_route(route));
+    configuration.accounts.insert("account".into(), Account { rank: 0, limit });
+    configuration.keys.insert("key".into(), "account".into());
+    configuration
 }
 
 /// Returns a ready target of the pool `pool` without an agent.
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -19,7 +19,9 @@
 };
 use uuid::Uuid;
 
-use super::{Process, address, blank, plan, refusals, request, route, settings, starts, target};
+use super::{
+    Process, address, blank, configuration, refusals, request, route, settings, starts, target,
+};
 
 /// Time that a message takes from one process to another, in ms.
 const MESSAGE_DELAY_MS: u64 = 2;
@@ -257,7 +259,7 @@
     settings.incarnation = u64::from(incarnation) + 1;
     let state = direct::open(now.steady, settings);
     let mut entry = Process { state, now, ..blank(number as u16 + 1) };
-    entry.send(Event::ConfigurationRead(plan(1, routes, None).into()));
+    entry.send(Event::ConfigurationRead(configuration(1, routes, None).into()));
     entry.confirm();
     entry.list(targets(site));
     entry
@@ -300,9 +302,9 @@
     let now = world.entries[0].now;
     let routes = lengths.kinds.iter().map(|kind| Route {
         rank: kind.rank,
-        aim: kind.aim,
+        target_latency: kind.aim,
         timeout: kind.patience,
-        ..route(kind.path, Repeat::Resume)
+        ..route(kind.path, Repeat::Resumable)
     });
     let routes: Vec<_> = routes.collect();
     let entries =
@@ -599,7 +601,7 @@
     fn broadcast_row(&mut self, from: usize) {
         self.entries[from].confirm();
         let now = self.entries[from].now.steady;
-        let row = self.entries[from].state.row(now);
+        let row = self.entries[from].state.next_row(now);
         for to in (0..self.site.entries).filter(|&to| to != from) {
             self.send(to, Event::RowsReceived(vec![row.clone()]));
         }
--- a/components/scheduler/tests/direct_target_limits.rs
+++ b/components/scheduler/tests/direct_target_limits.rs
@@ -162,7 +162,7 @@
             other.pass(Duration::from_secs(1));
             other.confirm();
             entry.confirm();
-            entry.send(Event::RowsReceived(vec![other.state.row(other.now.steady)]));
+            entry.send(Event::RowsReceived(vec![other.state.next_row(other.now.steady)]));
             let effects = entry.arrive(request(1 + second, "/call/"));
             if !starts(&effects).is_empty() {
                 turns.push((number, second));
