--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -260,7 +260,7 @@
                     None => return,
                 },
                 () = sleep_until(exchange.into()) => {
-                    exchange = Instant::now() + peers::period(self.links.len());
+                    exchange = Instant::now() + peers::exchange_period(self.links.len());
                     self.exchange();
                 }
                 () = sleep_until(wake.into()) => self.reduce(Event::Tick),
@@ -304,8 +304,8 @@
             Message::Give { topic, reply } => {
                 let (state, now) = (&self.state, now());
                 // The default where it isn't offered, which is the version of nothing that was packed.
-                let version = state.offer(now).known.of(topic);
-                let given = self.links.give(topic, version, || state.news(now, topic));
+                let version = state.offer(now).known.version(topic);
+                let given = self.links.give(topic, version, || state.topic_data(now, topic));
                 let _ = reply.send(given);
             }
             Message::Reserved(event) => {
@@ -322,8 +322,8 @@
             }
             Message::Done(Done::Fetched(peer, topic, fetched)) => {
                 record::fetched(peer, topic, &fetched);
-                let news = fetched.ok().map(|fetched| fetched.news);
-                self.reduce(Event::Fetched { peer, topic, news });
+                let data = fetched.ok().map(|fetched| fetched.news);
+                self.reduce(Event::Fetched { peer, topic, data });
             }
         }
     }
@@ -496,7 +496,7 @@
             if address < self.own && self.state.is_row_current(now.steady, address) {
                 continue;
             }
-            let all = peers::tells_all(self.exchanges, teller, place);
+            let all = peers::sends_all_rows(self.exchanges, teller, place);
             let told = Told { rows: self.rows(all), all, offer: self.state.offer(now) };
             self.links.exchange(address, told);
         }
--- a/components/gateway/src/links.rs
+++ b/components/gateway/src/links.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use metrics::Gateway;
-use scheduler::direct::relay::{News, Position, Topic};
+use scheduler::direct::relay::{Position, Topic, TopicData};
 use tracing::error;
 
 use crate::{
@@ -105,9 +105,9 @@
         &mut self,
         topic: Topic,
         version: Position,
-        news: impl FnOnce() -> Option<News>,
+        news: impl FnOnce() -> Option<TopicData>,
     ) -> Option<Bytes> {
-        let last = self.packed.get(&topic).filter(|last| last.0 == version && topic.is_timeless());
+        let last = self.packed.get(&topic).filter(|last| last.0 == version && topic.is_cacheable());
         if let Some((_, packed)) = last {
             self.metrics.relayed(topic.name());
             return Some(packed.clone());
--- a/components/gateway/src/relay.rs
+++ b/components/gateway/src/relay.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use displaydoc::Display;
 use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
-use scheduler::direct::relay::{News, Topic};
+use scheduler::direct::relay::{Topic, TopicData};
 use serde::{Deserialize, Serialize};
 use tarpc::{client::RpcError, context};
 use thiserror::Error;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct Fetched {
     /// What the other gave.
-    pub news: News,
+    pub news: TopicData,
     /// Bytes that came.
     pub bytes: usize,
     /// Time since it was asked for.
@@ -63,7 +63,7 @@
 }
 
 /// Packs what is given, with a checksum: what routes and keys have in common makes 2,800 routes 38 KB.
-pub fn pack(news: &News) -> Result<Bytes, io::Error> {
+pub fn pack(news: &TopicData) -> Result<Bytes, io::Error> {
     let plain = postcard::to_stdvec(news).map_err(io::Error::other)?;
     let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
     packed.write_all(&plain)?;
@@ -106,7 +106,7 @@
     }
 }
 
-fn unpack(packed: &[u8]) -> Result<News, Error> {
+fn unpack(packed: &[u8]) -> Result<TopicData, Error> {
     let mut plain = Vec::new();
     let mut decoder = ZlibDecoder::new(packed).take(UNPACKED_MAX);
     decoder.read_to_end(&mut plain).map_err(|error| Error::Unreadable(error.to_string()))?;
--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -22,7 +22,7 @@
             Ok(pending) => {
                 self.requests.insert(ticket, pending);
                 self.enqueue(ticket);
-                self.refuse_hopeless(now.steady, ticket, effects);
+                self.refuse_if_units_too_late(now.steady, ticket, effects);
             }
             Err(refusal) => effects.push(Effect::Refuse { ticket, refusal, context }),
         }
@@ -63,11 +63,11 @@
         let (mut units, mut stage) = (0.0, Stage::Waiting);
         let limit = account_settings.and_then(|account| account.limit);
         if let (Some(name), Some(limit)) = (&account, limit) {
-            let claim = State::claim(&limit, route.rank, &request);
-            (units, stage) = (claim.units, Stage::Limited(claim));
+            let unit_request = State::unit_request(&limit, route.rank, &request);
+            (units, stage) = (unit_request.units, Stage::Limited(unit_request));
             let started = self.started;
             let account_entry = self.accounts.entry(name.clone());
-            account_entry.or_insert_with(|| allowance::open(started)).ask(claim);
+            account_entry.or_insert_with(|| allowance::open(started)).record_request(unit_request);
         }
         self.count_for_retry_budget(now.steady, &pool);
         let max_wait =
--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Allowance {
     /// Units that this process admitted since its start, less the units that were returned.
-    pub spent: u64,
+    pub admitted_units: u64,
     /// Units left in the bucket of the parts of all processes whose use is known: at most their burst and
     /// [`BURST_TOLERANCE`], negative after an overshoot.
     shared_units: f64,
@@ -73,7 +73,7 @@
 
 /// Units that a request needs from its account's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
+pub struct UnitRequest {
     /// Number of units that the request takes.
     pub units: f64,
     /// Rank of the request, 0 for the highest: it leaves the units that are reserved for higher ranks.
@@ -101,7 +101,7 @@
 /// They are empty: a process that restarted doesn't know what it admitted before.
 pub fn open(started: Instant) -> Allowance {
     Allowance {
-        spent: 0,
+        admitted_units: 0,
         shared_units: 0.0,
         own_units: 0.0,
         recent_largest: 0.0,
@@ -113,9 +113,9 @@
 
 impl Allowance {
     /// Updates the largest recent size with a request that arrived.
-    pub fn ask(&mut self, claim: Claim) {
-        if claim.is_sized {
-            self.recent_largest = claim.units.max(LARGEST_DECAY * self.recent_largest);
+    pub fn record_request(&mut self, unit_request: UnitRequest) {
+        if unit_request.is_sized {
+            self.recent_largest = unit_request.units.max(LARGEST_DECAY * self.recent_largest);
         }
     }
 
@@ -125,16 +125,16 @@
         now: Instant,
         limit: &Limit,
         share: LimitShare,
-        claim: Claim,
+        unit_request: UnitRequest,
     ) -> Result<(), LimitShortage> {
         self.refill(now, limit, share);
-        let shortage = self.shortage(now, limit, share, claim);
+        let shortage = self.shortage(now, limit, share, unit_request);
         if shortage.needed > shortage.left {
             return Err(shortage);
         }
-        self.shared_units -= claim.units;
-        self.own_units -= claim.units;
-        self.spent += claim.units as u64;
+        self.shared_units -= unit_request.units;
+        self.own_units -= unit_request.units;
+        self.admitted_units += unit_request.units as u64;
         Ok(())
     }
 
@@ -144,7 +144,7 @@
         now: Instant,
         limit: &Limit,
         share: LimitShare,
-        claim: Claim,
+        unit_request: UnitRequest,
     ) -> LimitShortage {
         let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
         let (processes, usable) = (share.processes, share.usable);
@@ -154,22 +154,27 @@
             (self.own_units, 1.0 / f64::from(processes))
         };
         let (rate, burst) = (limit.rate * fraction, limit.burst * fraction);
-        let reserve = RESERVE_PER_RANK * f64::from(claim.rank.min(MAX_RESERVED_RANKS)) * burst;
-        let units = if claim.is_sized { claim.units.max(self.recent_largest) } else { claim.units };
+        let reserve =
+            RESERVE_PER_RANK * f64::from(unit_request.rank.min(MAX_RESERVED_RANKS)) * burst;
+        let units = if unit_request.is_sized {
+            unit_request.units.max(self.recent_largest)
+        } else {
+            unit_request.units
+        };
         // A full bucket admits a request that is larger than the burst.
         let needed = (units + reserve).min(burst);
         LimitShortage { needed, left: left + elapsed * rate, rate, processes, usable }
     }
 
     /// Returns the units of a request that did not run to the buckets.
-    pub fn give_back(&mut self, units: f64) {
+    pub fn refund(&mut self, units: f64) {
         self.shared_units += units;
         self.own_units += units;
-        self.spent = self.spent.saturating_sub(units as u64);
+        self.admitted_units = self.admitted_units.saturating_sub(units as u64);
     }
 
     /// Returns the units left in the shared bucket, which a process that started later takes over.
-    pub fn left(&self) -> i64 {
+    pub fn shared_units_left(&self) -> i64 {
         self.shared_units as i64
     }
 
@@ -177,7 +182,7 @@
     /// this process admitted; of several such processes the most units left count. The process gets no
     /// more extra units for its start then.
     pub fn adopt(&mut self, now: Instant, left: i64) {
-        let left = left as f64 - self.spent as f64;
+        let left = left as f64 - self.admitted_units as f64;
         self.shared_units = if self.has_adopted { self.shared_units.max(left) } else { left };
         self.has_adopted = true;
         self.start_fraction_left = 0.0;
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -29,7 +29,7 @@
 
 use super::{
     event::{Incarnation, Target},
-    peers::Busy,
+    peers::TargetLoad,
     pending::Reserved,
     rollout::{Lane, Version},
 };
@@ -327,31 +327,35 @@
     }
 
     /// Replaces the load of other processes at targets that aren't reached by an agent.
-    pub fn count_others<'a>(&mut self, now: Instant, running: impl Iterator<Item = &'a Busy>) {
+    pub fn count_others<'a>(
+        &mut self,
+        now: Instant,
+        running: impl Iterator<Item = &'a TargetLoad>,
+    ) {
         for state in self.states.iter_mut().filter(|state| !state.uses_agent(now)) {
             state.others = 0;
             state.others_prefill_tokens = 0.0;
         }
-        for busy in running {
-            let state = self.state_mut(&busy.target, busy.incarnation);
+        for load in running {
+            let state = self.state_mut(&load.target, load.incarnation);
             if let Some(state) = state.filter(|state| !state.uses_agent(now)) {
-                state.others += busy.requests;
-                state.others_prefill_tokens += f64::from(busy.unread);
+                state.others += load.requests;
+                state.others_prefill_tokens += f64::from(load.pending_prompt_tokens);
             }
         }
     }
 
     /// Returns the load of this process at targets that aren't reached by an agent, to be sent to the other
     /// entry processes.
-    pub fn running(&self, now: Instant) -> Vec<Busy> {
+    pub fn running(&self, now: Instant) -> Vec<TargetLoad> {
         let is_shared = |state: &TargetState| state.own > 0 && !state.uses_agent(now);
-        let busy = self.states.iter().filter(|state| is_shared(state)).map(|state| Busy {
+        let load = self.states.iter().filter(|state| is_shared(state)).map(|state| TargetLoad {
             target: state.target.name.clone(),
             incarnation: state.target.incarnation,
             requests: state.own,
-            unread: state.own_prefill_tokens as u32,
+            pending_prompt_tokens: state.own_prefill_tokens as u32,
         });
-        busy.collect()
+        load.collect()
     }
 
     /// Takes a slot for a request at the target with the lowest cost, without asking an agent. Returns `None`
--- a/components/scheduler/src/direct/crashes.rs
+++ b/components/scheduler/src/direct/crashes.rs
@@ -47,7 +47,7 @@
 
 /// All known crash counts.
 #[derive(Clone, Debug, Default)]
-pub struct Crashes {
+pub struct CrashCounts {
     counts: BTreeMap<Fingerprint, BTreeMap<Observer, Tally>>,
     /// Hash of all counts that doesn't depend on their order; 0 where there are none.
     digest: u64,
@@ -55,17 +55,17 @@
     earliest_expiry: Option<Instant>,
 }
 
-impl Crashes {
+impl CrashCounts {
     /// Counts a crash that `observer` saw; returns the body's crashes over all processes.
     pub fn add(&mut self, now: Instant, body: Fingerprint, observer: Observer) -> u32 {
         let known = self.counts.get(&body).and_then(|counts| counts.get(&observer));
         let crashes = known.map_or(0, |tally| tally.crashes) + 1;
         self.set(body, observer, Tally { crashes, last_crash: now });
-        self.times(&body)
+        self.crashes_of(&body)
     }
 
     /// Stores a count that another process sent, unless it has expired or one that is as high is known.
-    pub fn hear(&mut self, now: Instant, count: &CrashCount) {
+    pub fn merge(&mut self, now: Instant, count: &CrashCount) {
         let Some(last_crash) = now.checked_sub(count.age).filter(|_| count.age < COUNT_LIFETIME)
         else {
             return;
@@ -77,7 +77,7 @@
     }
 
     /// Removes expired counts.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         if self.earliest_expiry.is_none_or(|expiry| now < expiry) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Returns the number of target crashes that a body was part of, over all processes.
-    pub fn times(&self, body: &Fingerprint) -> u32 {
+    pub fn crashes_of(&self, body: &Fingerprint) -> u32 {
         self.counts.get(body).map_or(0, |counts| counts.values().map(|tally| tally.crashes).sum())
     }
 
--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -16,7 +16,7 @@
 use super::{
     peers::Row,
     plan::Configuration,
-    relay::{Era, Listing, News, Offer, Position, Topic},
+    relay::{Era, Listing, Offer, Position, Topic, TopicData},
     rollout::{Order, Report, Step, Version},
 };
 
@@ -257,7 +257,7 @@
         /// Topic that was fetched.
         topic: Topic,
         /// Content that was fetched; `None` where the other process returned nothing or the fetch failed.
-        news: Option<News>,
+        data: Option<TopicData>,
     },
     /// Addresses of entry processes became known, from the platform's service or from the settings.
     PeersDiscovered(Vec<Registration>),
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -14,7 +14,7 @@
 
 use super::{
     LIMIT_RETRY_MAX_S, LIMIT_WAIT_SHARE, State,
-    allowance::{self, Claim, LimitShare},
+    allowance::{self, LimitShare, UnitRequest},
     event::{Effect, LimitShortage, Refusal, RefusalReason, Request, Ticket},
     pending::{Pending, Stage},
     plan, refusal,
@@ -22,18 +22,18 @@
 
 impl State {
     /// Returns the units that a request needs from its account's limit.
-    pub(super) fn claim(limit: &plan::Limit, rank: u32, request: &Request) -> Claim {
+    pub(super) fn unit_request(limit: &plan::Limit, rank: u32, request: &Request) -> UnitRequest {
         let tokens =
             request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.max_output));
         let units = if limit.counts_tokens { tokens.unwrap_or(limit.default_units) } else { 1.0 };
         let is_sized = tokens.is_some();
         // Requests to plain services state no tokens and are too small to leave units for higher ranks.
-        Claim { units, rank: if is_sized { rank } else { 0 }, is_sized }
+        UnitRequest { units, rank: if is_sized { rank } else { 0 }, is_sized }
     }
 
     /// Moves requests that waited for their accounts' limits to the queues for targets, in queue order,
     /// as far as units are left.
-    pub(super) fn grant(&mut self, now: Instant) {
+    pub(super) fn admit_limited(&mut self, now: Instant) {
         if self.next_grant.is_some_and(|at| at > now) {
             return;
         }
@@ -42,20 +42,20 @@
             let mut is_blocked = false;
             let mut still_waiting = BTreeSet::new();
             for order in queue {
-                let Some(claim) = self.limit_claim(order.ticket) else {
+                let Some(unit_request) = self.awaited_units(order.ticket) else {
                     continue;
                 };
                 // A request with stated tokens can't overtake another one that lacks units.
-                if is_blocked && claim.is_sized {
+                if is_blocked && unit_request.is_sized {
                     still_waiting.insert(order);
                     continue;
                 }
-                match self.spend(now, &account, claim) {
+                match self.spend(now, &account, unit_request) {
                     Ok(()) => self.queue_for_target(order.ticket),
                     Err(shortage) => {
                         let at = now + refill_time(&shortage, shortage.needed);
                         self.next_grant = Some(self.next_grant.map_or(at, |known| known.min(at)));
-                        is_blocked |= claim.is_sized;
+                        is_blocked |= unit_request.is_sized;
                         still_waiting.insert(order);
                     }
                 }
@@ -68,13 +68,13 @@
 
     /// Refuses a request whose units won't be available within the part of its wait that it may spend
     /// on its account's limit.
-    pub(super) fn refuse_hopeless(
+    pub(super) fn refuse_if_units_too_late(
         &mut self,
         now: Instant,
         ticket: Ticket,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((shortage, wait)) = self.limit_wait(now, ticket) else {
+        let Some((shortage, wait)) = self.units_wait(now, ticket) else {
             return;
         };
         let latest = |pending: &Pending| {
@@ -110,19 +110,19 @@
     /// Returns, for a request that waits for its account's limit, the units that it needs and those that
     /// are left, and the time until it gets them after the requests ahead of it. `None` for any other
     /// request.
-    pub(super) fn limit_wait(
+    pub(super) fn units_wait(
         &self,
         now: Instant,
         ticket: Ticket,
     ) -> Option<(LimitShortage, Duration)> {
-        let claim = self.limit_claim(ticket)?;
+        let unit_request = self.awaited_units(ticket)?;
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
         let (limit, share) = self.limit(account)?;
         let ahead = self.waiting_for_limit.get(account)?.range(..pending.order());
-        let ahead = ahead.filter_map(|order| self.limit_claim(order.ticket));
-        let ahead: f64 = ahead.filter(|_| claim.is_sized).map(|ahead| ahead.units).sum();
-        let shortage = self.accounts.get(account)?.shortage(now, &limit, share, claim);
+        let ahead = ahead.filter_map(|order| self.awaited_units(order.ticket));
+        let ahead: f64 = ahead.filter(|_| unit_request.is_sized).map(|ahead| ahead.units).sum();
+        let shortage = self.accounts.get(account)?.shortage(now, &limit, share, unit_request);
         Some((shortage, refill_time(&shortage, shortage.needed + ahead)))
     }
 
@@ -145,7 +145,7 @@
         &mut self,
         now: Instant,
         account: &AccountName,
-        claim: Claim,
+        unit_request: UnitRequest,
     ) -> Result<(), LimitShortage> {
         // The configuration may have removed the limit since the request began to wait.
         let Some((limit, share)) = self.limit(account) else {
@@ -153,13 +153,13 @@
         };
         let started = self.started;
         let usage = self.accounts.entry(account.clone());
-        usage.or_insert_with(|| allowance::open(started)).take(now, &limit, share, claim)
+        usage.or_insert_with(|| allowance::open(started)).take(now, &limit, share, unit_request)
     }
 
     /// Returns the units that a request waits for; `None` where it doesn't wait for its account's limit.
-    fn limit_claim(&self, ticket: Ticket) -> Option<Claim> {
+    fn awaited_units(&self, ticket: Ticket) -> Option<UnitRequest> {
         match self.requests.get(&ticket)?.stage {
-            Stage::Limited(claim) => Some(claim),
+            Stage::Limited(unit_request) => Some(unit_request),
             _ => None,
         }
     }
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -46,14 +46,14 @@
 use allowance::Allowance;
 use budget::Budget;
 use capacity::{Capacity, Place, TargetState};
-use crashes::Crashes;
+use crashes::CrashCounts;
 pub use event::{
     DenialReason, Dispatch, Effect, Event, FittingTargets, Incarnation, LimitShortage, LogEntry,
     Now, Outcome, Refusal, RefusalContext, RefusalReason, Registration, Request, Reservation,
     Target, Ticket, Tokens,
 };
 use holds::Holds;
-use peers::{Limited, Peers, Row, Use};
+use peers::{AccountUsage, Peers, Row, TargetLimit};
 use pending::{Order, Pending, Stage};
 use plan::Configuration;
 use relay::{Era, Known, Listing, Topic};
@@ -207,7 +207,7 @@
     usable_parts: u32,
     /// Sequence number of the last row that this process made about itself.
     sequence: u64,
-    crashes: Crashes,
+    crashes: CrashCounts,
     /// Time from which crash counts may be fetched again.
     next_crash_fetch: Option<Instant>,
     /// Requests whose connection broke off, until it is known whether their target crashed.
@@ -311,7 +311,7 @@
         current_processes: 1,
         usable_parts: 1,
         sequence: 0,
-        crashes: Crashes::default(),
+        crashes: CrashCounts::default(),
         next_crash_fetch: None,
         broken_dispatches: Vec::new(),
         probing: BTreeMap::new(),
@@ -366,16 +366,16 @@
         Event::ConfigurationConfirmed { boot, version, era } => {
             state.confirm(now, boot, version, era)
         }
-        Event::TargetsListed(listing) => state.take_over(now.steady, listing, &mut effects),
+        Event::TargetsListed(listing) => state.apply_read_list(now.steady, listing, &mut effects),
         Event::TargetListAnswered => state.record_list_answer(now),
-        Event::PeerOffered { peer, offer } => state.offered(now, peer, offer),
-        Event::Fetched { peer, topic, news } => {
-            state.fetched(now.steady, (peer, topic), news, &mut effects);
+        Event::PeerOffered { peer, offer } => state.receive_offer(now, peer, offer),
+        Event::Fetched { peer, topic, data } => {
+            state.apply_fetched(now.steady, (peer, topic), data, &mut effects);
         }
         Event::PeersDiscovered(processes) => {
             let own = state.settings.address;
             for process in processes.into_iter().filter(|process| process.address != own) {
-                state.peers.introduce(now.steady, process);
+                state.peers.register(now.steady, process);
             }
             state.update_peers(now.steady, &mut effects);
         }
@@ -388,8 +388,8 @@
     }
     state.update_freshness(now, &mut effects);
     state.drop_vanished_targets(now.steady, &mut effects);
-    state.fetch(now.steady, &mut effects);
-    state.grant(now.steady);
+    state.start_fetches(now.steady, &mut effects);
+    state.admit_limited(now.steady);
     state.expire(now.steady, &mut effects);
     state.place(now, &mut effects);
     effects
@@ -423,7 +423,7 @@
 
     /// Returns whether the last row of the process at this address is current.
     pub fn is_row_current(&self, now: Instant, address: SocketAddr) -> bool {
-        self.peers.hears(now, address)
+        self.peers.has_current_row_of(now, address)
     }
 
     /// Returns facts about the dispatch of a request; `None` where the request isn't in flight at a target.
@@ -480,7 +480,7 @@
             ahead: queue.map_or(0, |queue| queue.range(..pending.order()).count()),
             free_slots: free,
             slots,
-            oldest_row: self.peers.oldest(now),
+            oldest_row: self.peers.oldest_current_row_age(now),
         }
     }
 
@@ -499,7 +499,7 @@
     /// Returns whether the row of any other process that may take requests is missing or out of date.
     pub fn is_missing_peers(&self, now: Instant) -> bool {
         let peer_timeout = self.settings.peer_timeout;
-        self.peers.heard(now, peer_timeout) < self.peers.expected(now, peer_timeout)
+        self.peers.current_count(now, peer_timeout) < self.peers.active_count(now, peer_timeout)
     }
 
     /// Returns the configuration in force; `None` where none was read yet.
@@ -520,12 +520,12 @@
             incarnation: self.settings.incarnation,
             sequence: self.sequence,
             age: Duration::ZERO,
-            leaving: self.drain_end.is_some() && self.requests.is_empty(),
-            hears: self.peers.heard_addresses(now),
+            has_drained: self.drain_end.is_some() && self.requests.is_empty(),
+            current_peers: self.peers.current_addresses(now),
             uptime: now.saturating_duration_since(self.started),
-            accounts: self.accounts.iter().map(account_use).collect(),
-            running: self.capacity.running(now),
-            limits: self.capacity.limits(now).map(target_limit).collect(),
+            account_usages: self.accounts.iter().map(account_usage).collect(),
+            target_loads: self.capacity.running(now),
+            target_limits: self.capacity.limits(now).map(target_limit).collect(),
             rollouts: self.shares(now),
         }
     }
@@ -536,13 +536,17 @@
     }
 }
 
-fn account_use((account, usage): (&AccountName, &Allowance)) -> Use {
-    Use { account: account.clone(), spent: usage.spent, left: usage.left() }
+fn account_usage((account, usage): (&AccountName, &Allowance)) -> AccountUsage {
+    AccountUsage {
+        account: account.clone(),
+        admitted_units: usage.admitted_units,
+        units_left: usage.shared_units_left(),
+    }
 }
 
-fn target_limit((state, limit): (&TargetState, Limit)) -> Limited {
+fn target_limit((state, limit): (&TargetState, Limit)) -> TargetLimit {
     let Target { name, incarnation, .. } = &state.target;
-    Limited { target: name.clone(), incarnation: *incarnation, limit }
+    TargetLimit { target: name.clone(), incarnation: *incarnation, limit }
 }
 
 fn refusal(reason: RefusalReason) -> Refusal {
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -1,7 +1,7 @@
 //! State that entry processes exchange about themselves, one row for each process.
 //!
 //! A row is *current* while it is younger than ten exchange periods. A process is *active* while it
-//! isn't leaving and its newest row, or the last change of its stamp at the platform's service, is
+//! hasn't drained and its newest row, or the last change of its stamp at the platform's service, is
 //! younger than the setting [`peer_timeout`](super::Settings::peer_timeout).
 
 use std::{
@@ -35,7 +35,7 @@
 
 /// Returns the time between two exchanges of rows with the same process, where `others` processes are
 /// known besides this one.
-pub fn period(others: usize) -> Duration {
+pub fn exchange_period(others: usize) -> Duration {
     MIN_EXCHANGE_PERIOD.max(EXCHANGE_PERIOD_PER_PEER * u32::try_from(others).unwrap_or(u32::MAX))
 }
 
@@ -46,13 +46,13 @@
 /// a process sends all rows to at most one in 20 of the others, rounded up, and receives all rows from
 /// at most as many. Processes that start together number their exchanges alike: if all of them sent all
 /// rows to one process, they would fill its link for longer than the timeout of an exchange.
-pub fn tells_all(exchange: u64, own: usize, other: usize) -> bool {
+pub fn sends_all_rows(exchange: u64, own: usize, other: usize) -> bool {
     (exchange + own as u64 + other as u64).is_multiple_of(EXCHANGES_PER_FULL_EXCHANGE)
 }
 
 /// Load that one entry process puts on a target.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Busy {
+pub struct TargetLoad {
     /// Name of the target.
     pub target: TargetName,
     /// Incarnation of the target to which the requests were dispatched.
@@ -61,12 +61,12 @@
     /// Requests of the process that are in flight at the target.
     pub requests: u32,
     /// Prompt tokens of those requests whose answers haven't begun.
-    pub unread: u32,
+    pub pending_prompt_tokens: u32,
 }
 
 /// Rate limit of a target, as one entry process last learnt it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Limited {
+pub struct TargetLimit {
     /// Name of the target.
     pub target: TargetName,
     /// Incarnation of the target that stated the limit.
@@ -77,14 +77,14 @@
 
 /// Use of an account's limit, by the count of one entry process.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Use {
+pub struct AccountUsage {
     /// Name of the account.
     pub account: AccountName,
     /// Units that the process admitted since its start.
-    pub spent: u64,
+    pub admitted_units: u64,
     /// Units that are left for all processes together, by the process's own count; negative where the
     /// limit was exceeded.
-    pub left: i64,
+    pub units_left: i64,
 }
 
 /// State that one entry process publishes about itself; other processes pass it on unchanged but for
@@ -100,20 +100,20 @@
     /// Time since the row was made, without the time that it spent in transit.
     pub age: Duration,
     /// Whether the process is draining and its last request has ended.
-    pub leaving: bool,
-    /// Addresses of the processes whose rows are current at this process and that aren't leaving,
+    pub has_drained: bool,
+    /// Addresses of the processes whose rows are current at this process and that haven't drained,
     /// sorted.
-    pub hears: Vec<SocketAddr>,
+    pub current_peers: Vec<SocketAddr>,
     /// Time since the process started.
     pub uptime: Duration,
     /// Use of each account's limit, by the process's own count.
-    pub accounts: Vec<Use>,
+    pub account_usages: Vec<AccountUsage>,
     /// Load that the process puts on each target.
-    pub running: Vec<Busy>,
+    pub target_loads: Vec<TargetLoad>,
     /// Rate limits, as the process last learnt them, of the targets that ever stated one.
     #[serde(default)]
-    pub limits: Vec<Limited>,
-    /// State of each roll-out at the process.
+    pub target_limits: Vec<TargetLimit>,
+    /// State of each rollout at the process.
     pub rollouts: Vec<Share>,
 }
 
@@ -139,19 +139,19 @@
 
 /// Change of an account's use that follows from a row of another process.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum UsageChange {
     /// Units that the other process admitted since its last row.
-    Spent(AccountName, u64),
+    Admitted(AccountName, u64),
     /// Units that are left by the count of the other process, which started earlier than this one and
     /// whose first row this is.
-    Left(AccountName, i64),
+    Remaining(AccountName, i64),
 }
 
 impl Peers {
     /// Adds a process that the platform's service lists, or updates its stamp. A process whose stamp
     /// changes is alive and may take requests, even if none of its rows arrive here.
-    pub fn introduce(&mut self, now: Instant, introduction: Registration) {
-        let Registration { address, stamp } = introduction;
+    pub fn register(&mut self, now: Instant, registration: Registration) {
+        let Registration { address, stamp } = registration;
         let peer = self.peers.entry(address).or_insert_with(|| Peer {
             row: Row { address: Some(address), ..Row::default() },
             row_made: None,
@@ -166,12 +166,12 @@
 
     /// Stores a row, unless a newer one of its process is known; returns the changes of accounts' use
     /// that follow from it. `uptime` is the time since this process started.
-    pub fn hear(&mut self, now: Instant, uptime: Duration, mut row: Row) -> Vec<Told> {
-        row.hears.sort_unstable();
+    pub fn record_row(&mut self, now: Instant, uptime: Duration, mut row: Row) -> Vec<UsageChange> {
+        row.current_peers.sort_unstable();
         let Some(address) = row.address else {
             return Vec::new();
         };
-        self.introduce(now, Registration { address, stamp: 0 });
+        self.register(now, Registration { address, stamp: 0 });
         let Some(peer) = self.peers.get_mut(&address) else {
             return Vec::new();
         };
@@ -186,15 +186,17 @@
             return Vec::new();
         }
         let is_first_of_older_process = peer.row_made.is_none() && row.uptime > uptime;
-        let changes = row.accounts.iter().map(|usage| {
+        let changes = row.account_usages.iter().map(|usage| {
             let account = usage.account.clone();
             if is_first_of_older_process {
-                return Told::Left(account, usage.left);
+                return UsageChange::Remaining(account, usage.units_left);
             }
-            let previous =
-                known.accounts.iter().find(|known| is_same_incarnation && known.account == account);
-            let previous = previous.map_or(0, |previous| previous.spent);
-            Told::Spent(account, usage.spent.saturating_sub(previous))
+            let previous = known
+                .account_usages
+                .iter()
+                .find(|known| is_same_incarnation && known.account == account);
+            let previous = previous.map_or(0, |previous| previous.admitted_units);
+            UsageChange::Admitted(account, usage.admitted_units.saturating_sub(previous))
         });
         let changes = changes.collect();
         peer.row = row;
@@ -208,49 +210,52 @@
     }
 
     /// Returns whether the row of the process at this address is current.
-    pub fn hears(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn has_current_row_of(&self, now: Instant, address: SocketAddr) -> bool {
         self.peers.get(&address).is_some_and(|peer| self.has_current_row(peer, now))
     }
 
     /// Returns the number of active processes. One that wasn't seen for as long as `peer_timeout` can't take
     /// requests with a key any more.
-    pub fn expected(&self, now: Instant, peer_timeout: Duration) -> usize {
+    pub fn active_count(&self, now: Instant, peer_timeout: Duration) -> usize {
         self.active(now, peer_timeout).count()
     }
 
     /// Returns the number of active processes whose rows are current.
-    pub fn heard(&self, now: Instant, peer_timeout: Duration) -> usize {
+    pub fn current_count(&self, now: Instant, peer_timeout: Duration) -> usize {
         self.active(now, peer_timeout).filter(|peer| self.has_current_row(peer, now)).count()
     }
 
     /// Returns the number of processes, this one included, whose parts of accounts' limits this process
     /// may use.
     ///
-    /// Besides this process, these are the active processes with a current row whose [`Row::hears`]
+    /// Besides this process, these are the active processes with a current row whose [`Row::current_peers`]
     /// contains `own`, the address of this process, and contains no active process whose row is stale
     /// here. So two processes never use the same part unless one of them receives the other's rows.
-    pub fn together(&self, now: Instant, peer_timeout: Duration, own: SocketAddr) -> u32 {
+    pub fn usable_parts(&self, now: Instant, peer_timeout: Duration, own: SocketAddr) -> u32 {
         let (current, stale): (Vec<&Peer>, Vec<&Peer>) =
             self.active(now, peer_timeout).partition(|peer| self.has_current_row(peer, now));
         let stale: BTreeSet<SocketAddr> =
             stale.into_iter().filter_map(|peer| peer.row.address).collect();
         let is_part_usable = |peer: &&Peer| {
-            let hears = &peer.row.hears;
-            hears.contains(&own) && hears.iter().all(|address| !stale.contains(address))
+            let current_peers = &peer.row.current_peers;
+            current_peers.contains(&own)
+                && current_peers.iter().all(|address| !stale.contains(address))
         };
         current.into_iter().filter(is_part_usable).count() as u32 + 1
     }
 
-    /// Returns the addresses of the processes whose rows are current and that aren't leaving, for
-    /// [`Row::hears`].
-    pub fn heard_addresses(&self, now: Instant) -> Vec<SocketAddr> {
-        let current =
-            self.peers.values().filter(|peer| self.has_current_row(peer, now) && !peer.row.leaving);
+    /// Returns the addresses of the processes whose rows are current and that haven't drained, for
+    /// [`Row::current_peers`].
+    pub fn current_addresses(&self, now: Instant) -> Vec<SocketAddr> {
+        let current = self
+            .peers
+            .values()
+            .filter(|peer| self.has_current_row(peer, now) && !peer.row.has_drained);
         current.filter_map(|peer| peer.row.address).collect()
     }
 
     fn has_current_row(&self, peer: &Peer, now: Instant) -> bool {
-        let lifetime = period(self.peers.len()) * STALE_ROW_PERIODS;
+        let lifetime = exchange_period(self.peers.len()) * STALE_ROW_PERIODS;
         peer.row_made.is_some_and(|made| now.saturating_duration_since(made) < lifetime)
     }
 
@@ -268,18 +273,18 @@
     }
 
     /// Returns the age of the oldest current row; `None` where no row is current.
-    pub fn oldest(&self, now: Instant) -> Option<Duration> {
+    pub fn oldest_current_row_age(&self, now: Instant) -> Option<Duration> {
         let current = self.peers.values().filter(|peer| self.has_current_row(peer, now));
         current.filter_map(|peer| Some(now.saturating_duration_since(peer.row_made?))).max()
     }
 
     /// Returns the load that other processes put on targets, by their current rows.
-    pub fn running(&self, now: Instant) -> impl Iterator<Item = &Busy> {
+    pub fn target_loads(&self, now: Instant) -> impl Iterator<Item = &TargetLoad> {
         let current = self.peers.values().filter(move |peer| self.has_current_row(peer, now));
-        current.flat_map(|peer| &peer.row.running)
+        current.flat_map(|peer| &peer.row.target_loads)
     }
 
-    /// Returns the states of roll-outs from the newest rows of all other processes, stale rows included.
+    /// Returns the states of rollouts from the newest rows of all other processes, stale rows included.
     pub fn shares(&self) -> impl Iterator<Item = &Share> {
         self.peers.values().flat_map(|peer| &peer.row.rollouts)
     }
@@ -293,7 +298,7 @@
     }
 
     /// Removes processes that weren't seen for ten times as long as `peer_timeout`.
-    pub fn forget(&mut self, now: Instant, peer_timeout: Duration) {
+    pub fn remove_expired(&mut self, now: Instant, peer_timeout: Duration) {
         self.peers.retain(|_, peer| now.duration_since(peer.last_seen()) < peer_timeout * 10);
     }
 
@@ -309,6 +314,6 @@
     }
 
     fn is_active(&self, now: Instant, peer_timeout: Duration) -> bool {
-        !self.row.leaving && now.saturating_duration_since(self.last_seen()) < peer_timeout
+        !self.row.has_drained && now.saturating_duration_since(self.last_seen()) < peer_timeout
     }
 }
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -8,7 +8,7 @@
 use model::id::{AccountName, PoolName, TargetName, ZoneName};
 
 use super::{
-    allowance::Claim,
+    allowance::UnitRequest,
     capacity::{Demand, Slot},
     event::{Incarnation, Request, Ticket, Tokens},
     plan::Repeat,
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub enum Stage {
     /// The request waits for units of its account's quota.
-    Limited(Claim),
+    Limited(UnitRequest),
     /// The request waits for a free slot at any target of its pool.
     Waiting,
     /// The request is in flight at a target.
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -85,7 +85,7 @@
             if self.stay(ticket, effects) {
                 continue;
             }
-            if let Some((shortage, wait)) = self.limit_wait(now, ticket) {
+            if let Some((shortage, wait)) = self.units_wait(now, ticket) {
                 self.refuse_limited(now, ticket, shortage, wait, effects);
                 continue;
             }
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -8,7 +8,7 @@
     State,
     capacity::Slot,
     event::{Effect, LogEntry, Ticket},
-    peers::Limited,
+    peers::TargetLimit,
 };
 
 impl State {
@@ -39,10 +39,10 @@
         &mut self,
         now: Instant,
         age: Duration,
-        limits: &[Limited],
+        limits: &[TargetLimit],
         effects: &mut Vec<Effect>,
     ) {
-        for Limited { target, incarnation, limit } in limits {
+        for TargetLimit { target, incarnation, limit } in limits {
             let at = now.checked_sub(age + limit.age).unwrap_or(now);
             let news = News { interval: limit.interval, at };
             if self.capacity.record_limit(now, target, *incarnation, news) {
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -84,7 +84,7 @@
 
 /// Data of one topic, as a process sends it to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum News {
+pub enum TopicData {
     /// The list of targets.
     Targets(Listing),
     /// The configuration.
@@ -117,7 +117,7 @@
 
     /// Returns whether packed data of the topic may be sent again while its version stays the same. Crash
     /// counts may not: they contain ages.
-    pub fn is_timeless(self) -> bool {
+    pub fn is_cacheable(self) -> bool {
         self != Topic::Crashes
     }
 }
@@ -126,7 +126,7 @@
     /// Returns the version of a topic's data as a position, which differs after each change and is the
     /// default where there is no data. Configurations and crash counts get era 0: versions of the
     /// configuration grow across all eras, and digests have none.
-    pub fn of(&self, topic: Topic) -> Position {
+    pub fn version(&self, topic: Topic) -> Position {
         match topic {
             Topic::Targets => self.targets,
             Topic::Plan => Position { era: 0, offset: self.plan },
@@ -137,7 +137,7 @@
     /// Returns whether a process with these versions may have data of a topic that `other` lacks.
     fn may_be_ahead(&self, other: &Known, topic: Topic) -> bool {
         match topic {
-            Topic::Targets | Topic::Plan => self.of(topic) > other.of(topic),
+            Topic::Targets | Topic::Plan => self.version(topic) > other.version(topic),
             // Two digests don't show which of them covers more counts.
             Topic::Crashes => self.crashes != other.crashes && self.crashes != 0,
         }
@@ -173,20 +173,20 @@
     }
 
     /// Returns the data of a topic for another process; `None` where this process doesn't offer it.
-    pub fn news(&self, now: Now, topic: Topic) -> Option<News> {
-        if self.offer(now).known.of(topic) == Position::default() {
+    pub fn topic_data(&self, now: Now, topic: Topic) -> Option<TopicData> {
+        if self.offer(now).known.version(topic) == Position::default() {
             return None;
         }
         match topic {
-            Topic::Targets => Some(News::Targets(self.target_list.clone())),
-            Topic::Plan => self.configuration.clone().map(News::Plan),
-            Topic::Crashes => Some(News::Crashes(self.crashes.counts(now.steady))),
+            Topic::Targets => Some(TopicData::Targets(self.target_list.clone())),
+            Topic::Plan => self.configuration.clone().map(TopicData::Plan),
+            Topic::Crashes => Some(TopicData::Crashes(self.crashes.counts(now.steady))),
         }
     }
 
     /// Stores another process's offer. If the platform answered that process less than
     /// [`OUTAGE_THRESHOLD`] ago, the platform had no outage.
-    pub(super) fn offered(&mut self, now: Now, peer: SocketAddr, offer: Offer) {
+    pub(super) fn receive_offer(&mut self, now: Now, peer: SocketAddr, offer: Offer) {
         if let Some(age) = offer.answered {
             self.platform_answered = self.platform_answered.max(now.boot.checked_sub(age));
             if age < OUTAGE_THRESHOLD {
@@ -197,13 +197,13 @@
         self.offers.insert(peer, offer.known);
     }
 
-    /// Applies the data that a fetch of a topic from a peer brought; `news` is `None` where the fetch
+    /// Applies the data that a fetch of a topic from a peer brought; `data` is `None` where the fetch
     /// failed.
-    pub(super) fn fetched(
+    pub(super) fn apply_fetched(
         &mut self,
         now: Instant,
         (peer, topic): (SocketAddr, Topic),
-        news: Option<News>,
+        data: Option<TopicData>,
         effects: &mut Vec<Effect>,
     ) {
         self.fetching.remove(&topic);
@@ -211,23 +211,25 @@
         if let Some(known) = self.offers.get_mut(&peer) {
             known.clear(topic);
         }
-        match news {
-            Some(News::Plan(configuration)) => self.apply_configuration(configuration, effects),
-            Some(News::Targets(listing)) if listing.position > self.target_list.position => {
+        match data {
+            Some(TopicData::Plan(configuration)) => {
+                self.apply_configuration(configuration, effects)
+            }
+            Some(TopicData::Targets(listing)) if listing.position > self.target_list.position => {
                 self.enter_era(now, listing.position.era);
                 self.target_list = self.without_departed(now, listing);
                 self.apply_target_list(now, false, effects);
             }
-            Some(News::Crashes(counts)) => {
-                counts.iter().for_each(|count| self.crashes.hear(now, count));
+            Some(TopicData::Crashes(counts)) => {
+                counts.iter().for_each(|count| self.crashes.merge(now, count));
             }
-            Some(News::Targets(_)) | None => {}
+            Some(TopicData::Targets(_)) | None => {}
         }
     }
 
     /// Starts a fetch of each topic in which another process may be ahead, unless one runs already. It
     /// goes to the process with the newest data; for crash counts, to any process with a different digest.
-    pub(super) fn fetch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn start_fetches(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let own = self.known();
         let is_ahead = |known: &Known| Topic::ALL.iter().any(|&t| known.may_be_ahead(&own, t));
         self.offers.retain(|_, known| is_ahead(known));
@@ -239,7 +241,9 @@
             }
             let ahead = self.offers.iter().filter(|(_, known)| known.may_be_ahead(&own, topic));
             let ahead = ahead.map(|(&peer, known)| match topic {
-                Topic::Targets | Topic::Plan => (known.of(topic), self.affinity(peer, 0), peer),
+                Topic::Targets | Topic::Plan => {
+                    (known.version(topic), self.affinity(peer, 0), peer)
+                }
                 Topic::Crashes => (Position::default(), self.affinity(peer, own.crashes), peer),
             });
             if let Some((.., peer)) = ahead.max() {
@@ -259,7 +263,12 @@
     }
 
     /// Uses a list that this process read from the platform's service, unless a newer one is known.
-    pub(super) fn take_over(&mut self, now: Instant, listing: Listing, effects: &mut Vec<Effect>) {
+    pub(super) fn apply_read_list(
+        &mut self,
+        now: Instant,
+        listing: Listing,
+        effects: &mut Vec<Effect>,
+    ) {
         if listing.position >= self.target_list.position {
             self.enter_era(now, listing.position.era);
             self.target_list = self.without_departed(now, listing);
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -352,7 +352,7 @@
 
     /// Returns whether requests with this body are refused, since it reached the limit of crashes.
     pub(super) fn is_quarantined(&self, body: &Fingerprint) -> bool {
-        self.crashes.times(body) >= QUARANTINE_CRASHES
+        self.crashes.crashes_of(body) >= QUARANTINE_CRASHES
     }
 
     /// Ends a request without a whole answer: refuses it or, where a target answered with a failure and the
@@ -413,7 +413,7 @@
     pub(super) fn return_units(&mut self, pending: &Pending) {
         let allowance = pending.account.as_ref().and_then(|name| self.accounts.get_mut(name));
         if let Some(allowance) = allowance {
-            allowance.give_back(pending.units);
+            allowance.refund(pending.units);
         }
     }
 }
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -82,7 +82,7 @@
     /// Returns whether fewer than half of the other processes that may take requests have current rows.
     pub(super) fn is_in_minority(&self, now: Instant) -> bool {
         let peer_timeout = self.settings.peer_timeout;
-        self.peers.heard(now, peer_timeout) * 2 < self.peers.expected(now, peer_timeout)
+        self.peers.current_count(now, peer_timeout) * 2 < self.peers.active_count(now, peer_timeout)
     }
 
     /// Reassigns to each target whether it gets requests, and those of which version.
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -12,7 +12,7 @@
     OUTAGE_THRESHOLD, RELISTING_TIME, State, allowance,
     capacity::Place,
     event::{Effect, LogEntry, Now},
-    peers::{Row, Told},
+    peers::{Row, UsageChange},
     plan::Configuration,
     relay::Era,
 };
@@ -135,14 +135,15 @@
         let (own, started) = (self.settings.address, self.started);
         for row in rows.into_iter().filter(|row| row.address != Some(own)) {
             self.receive_shares(now, row.age, &row.rollouts, effects);
-            self.hear_limits(now, row.age, &row.limits, effects);
-            for told in self.peers.hear(now, now.saturating_duration_since(started), row) {
-                let (Told::Spent(account, _) | Told::Left(account, _)) = &told;
+            self.hear_limits(now, row.age, &row.target_limits, effects);
+            for change in self.peers.record_row(now, now.saturating_duration_since(started), row) {
+                let (UsageChange::Admitted(account, _) | UsageChange::Remaining(account, _)) =
+                    &change;
                 let usage = self.accounts.entry(account.clone());
                 let usage = usage.or_insert_with(|| allowance::open(started));
-                match told {
-                    Told::Spent(_, units) => usage.charge(units as f64),
-                    Told::Left(_, left) => {
+                match change {
+                    UsageChange::Admitted(_, units) => usage.charge(units as f64),
+                    UsageChange::Remaining(_, left) => {
                         usage.adopt(now, left);
                         self.next_grant = None;
                     }
@@ -156,8 +157,8 @@
     /// this process, the load of the targets and the decisions about rollouts.
     pub(super) fn update_peers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let peer_timeout = self.settings.peer_timeout;
-        self.peers.forget(now, peer_timeout);
-        self.crashes.forget(now);
+        self.peers.remove_expired(now, peer_timeout);
+        self.crashes.remove_expired(now);
         let mut addresses = self.peers.active_addresses(now, peer_timeout);
         let own = self.settings.address;
         addresses.push(own);
@@ -165,20 +166,16 @@
         let index = addresses.iter().position(|&address| address == own).unwrap_or_default();
         self.process_index = Place { index: index as u32, among: addresses.len() as u32 };
         self.capacity.share(self.peers.addresses().count());
-        let heard = self.peers.heard(now, peer_timeout);
-        self.current_processes = heard as u32 + 1;
-        let together = self.peers.together(now, peer_timeout, own);
-        if together != self.usable_parts {
-            self.usable_parts = together;
+        let known = self.peers.current_count(now, peer_timeout);
+        self.current_processes = known as u32 + 1;
+        let usable = self.peers.usable_parts(now, peer_timeout, own);
+        if usable != self.usable_parts {
+            self.usable_parts = usable;
             self.next_grant = None;
-            let expected = self.peers.expected(now, peer_timeout);
-            effects.push(Effect::Log(LogEntry::PeersChanged {
-                known: heard,
-                expected,
-                usable: together,
-            }));
+            let expected = self.peers.active_count(now, peer_timeout);
+            effects.push(Effect::Log(LogEntry::PeersChanged { known, expected, usable }));
         }
-        self.capacity.count_others(now, self.peers.running(now));
+        self.capacity.count_others(now, self.peers.target_loads(now));
         self.advance_rollouts(now, effects);
     }
 }
--- a/components/scheduler/tests/direct.rs
+++ b/components/scheduler/tests/direct.rs
@@ -448,7 +448,7 @@
     process.end(1, Outcome::Completed);
 
     let now = process.now.steady;
-    assert_eq!(process.state.next_row(now).accounts[0].spent, 110);
+    assert_eq!(process.state.next_row(now).account_usages[0].admitted_units, 110);
 }
 
 #[test]
@@ -461,7 +461,7 @@
     process.pass(Duration::from_secs(1));
 
     let now = process.now.steady;
-    assert_eq!(process.state.next_row(now).accounts[0].spent, 0);
+    assert_eq!(process.state.next_row(now).account_usages[0].admitted_units, 0);
 }
 
 #[test]
--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -238,14 +238,14 @@
     let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
-    let reached = entry.state.next_row(entry.now.steady).running;
+    let reached = entry.state.next_row(entry.now.steady).target_loads;
     entry.arrive(request(2, "/never/"));
 
     deny(&mut entry, 2, 1, DenialReason::AgentUnreachable);
-    let unreachable = entry.state.next_row(entry.now.steady).running;
+    let unreachable = entry.state.next_row(entry.now.steady).target_loads;
 
     assert!(reached.is_empty(), "{reached:?}");
-    assert_eq!(unreachable.iter().map(|busy| busy.requests).sum::<u32>(), 1, "{unreachable:?}");
+    assert_eq!(unreachable.iter().map(|load| load.requests).sum::<u32>(), 1, "{unreachable:?}");
 }
 
 #[test]
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -48,7 +48,7 @@
 
     for exchange in 7..7 + EXCHANGES_PER_CYCLE {
         let receivers: Vec<usize> =
-            (0..others).filter(|&other| peers::tells_all(exchange, 3, other)).collect();
+            (0..others).filter(|&other| peers::sends_all_rows(exchange, 3, other)).collect();
         assert!(receivers.len() <= max_receivers, "{receivers:?}");
         receivers.into_iter().for_each(|receiver| times_sent[receiver] += 1);
     }
@@ -67,7 +67,7 @@
         for receiver in 1..processes {
             // A process exchanges with those of higher addresses. Its own address isn't in its list of
             // addresses, so the index of the receiver is one lower there.
-            let sends_all = |&own: &usize| peers::tells_all(exchange, own, receiver - 1);
+            let sends_all = |&own: &usize| peers::sends_all_rows(exchange, own, receiver - 1);
 
             let senders = (0..receiver).filter(sends_all).count();
 
@@ -90,13 +90,13 @@
 
     // Each pair exchanges once a period; either side sends its own row or all rows.
     let sent = |exchange: u64| {
-        let full = (0..others).filter(|&other| peers::tells_all(exchange, others / 2, other));
+        let full = (0..others).filter(|&other| peers::sends_all_rows(exchange, others / 2, other));
         let full = full.count();
         full * full_size + (others - full) * own_size
     };
     let sent: usize = (0..EXCHANGES_PER_CYCLE).map(sent).sum();
 
-    let time: Duration = peers::period(others) * EXCHANGES_PER_CYCLE as u32;
+    let time: Duration = peers::exchange_period(others) * EXCHANGES_PER_CYCLE as u32;
     let rate = sent as f64 / time.as_secs_f64();
     assert!(rate < NARROW_LINK, "{rate:.0} bytes a second of {NARROW_LINK}");
 }
--- a/components/scheduler/tests/direct_relay.rs
+++ b/components/scheduler/tests/direct_relay.rs
@@ -105,7 +105,7 @@
     other.hear_offer(&first);
     other.hear_offer(&second);
 
-    let failed = Event::Fetched { peer: first.address, topic: Topic::Plan, news: None };
+    let failed = Event::Fetched { peer: first.address, topic: Topic::Plan, data: None };
     let effects = other.send(failed);
 
     assert_eq!(fetches(&effects), [(second.address, Topic::Plan)]);
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -14,9 +14,9 @@
 };
 use scheduler::direct::{
     self, Effect, Event, LogEntry, Outcome, RefusalReason, Target,
-    peers::Busy,
+    peers::TargetLoad,
     plan::Repeat,
-    relay::{News, Topic},
+    relay::{Topic, TopicData},
 };
 
 /// Number of slots of each target of the fixtures.
@@ -113,7 +113,8 @@
 
     process.ask(&stale_peer);
 
-    let Some(News::Targets(listing)) = process.state.news(process.now, Topic::Targets) else {
+    let Some(TopicData::Targets(listing)) = process.state.topic_data(process.now, Topic::Targets)
+    else {
         panic!("the process has no list of targets to offer");
     };
     assert_eq!(listing.targets, [restarted(1, 2)]);
@@ -124,8 +125,13 @@
     let mut process = serving_process(vec![restarted(1, 2)]);
     let mut peer = direct::open(process.now.steady, settings(2));
     let mut row = peer.next_row(process.now.steady);
-    let busy = Busy { target: "target-1".into(), incarnation: 1, requests: 2, unread: 0 };
-    row.running = vec![busy];
+    let load = TargetLoad {
+        target: "target-1".into(),
+        incarnation: 1,
+        requests: 2,
+        pending_prompt_tokens: 0,
+    };
+    row.target_loads = vec![load];
 
     process.send(Event::RowsReceived(vec![row]));
 
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -116,8 +116,8 @@
 
     /// Receives the answer of a peer to a fetch of a topic.
     pub fn fetch(&mut self, other: &Process, topic: Topic) -> Vec<Effect> {
-        let news = other.state.news(other.now, topic);
-        self.send(Event::Fetched { peer: other.address, topic, news })
+        let data = other.state.topic_data(other.now, topic);
+        self.send(Event::Fetched { peer: other.address, topic, data })
     }
 
     /// Advances both clocks by `time` and handles a tick.
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -13,7 +13,7 @@
     agent::{self, Policy, Room, State},
     direct::{
         self, DenialReason, Effect, Event, Now, Outcome, Request, Reservation, Target, Ticket,
-        peers::period,
+        peers::exchange_period,
         plan::{Repeat, Route},
     },
 };
@@ -524,7 +524,7 @@
         for message in self.in_flight.remove(&self.at).unwrap_or_default() {
             self.deliver(message);
         }
-        let period_ms = period(self.site.entries - 1).as_millis() as u64;
+        let period_ms = exchange_period(self.site.entries - 1).as_millis() as u64;
         for index in 0..self.site.entries {
             if self.at % period_ms == index as u64 * period_ms / self.site.entries as u64 {
                 self.broadcast_row(index);
