--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: routing, authentication, and claims on account quotas.
+//! Admission of requests: routing, authentication, and units of the accounts' limits.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
     DEFAULT_TIMEOUT, MAX_WAIT_FLOOR, MAX_WAIT_SHARE, NOT_READY_RETRY_AFTER, PROMOTION_SHARE, State,
     allowance,
     event::{Effect, Now, Refusal, RefusalContext, RefusalReason, Request},
-    pending::{Charge, Pending, Stage},
+    pending::{PendingRequest, RetryCharge, Stage},
     plan::Configuration,
     refusal,
 };
 
 impl State {
     /// Handles a request that arrived whole: queues it, or refuses it with the reason.
-    pub(super) fn arrive(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_arrival(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
         let ticket = request.ticket;
         let mut context = Box::<RefusalContext>::default();
         match self.admit(now, request, &mut context) {
@@ -35,7 +35,7 @@
         now: Now,
         request: Request,
         context: &mut RefusalContext,
-    ) -> Result<Pending, Refusal> {
+    ) -> Result<PendingRequest, Refusal> {
         let configuration = self
             .configuration
             .clone()
@@ -60,11 +60,11 @@
             return Err(refusal(RefusalReason::Quarantined));
         }
         let account_settings = account.as_ref().and_then(|name| configuration.accounts.get(name));
-        let (mut units, mut stage) = (0.0, Stage::Waiting);
+        let (mut units, mut stage) = (0.0, Stage::WaitingForSlot);
         let limit = account_settings.and_then(|account| account.limit);
         if let (Some(name), Some(limit)) = (&account, limit) {
             let unit_request = State::unit_request(&limit, route.rank, &request);
-            (units, stage) = (unit_request.units, Stage::Limited(unit_request));
+            (units, stage) = (unit_request.units, Stage::WaitingForUnits(unit_request));
             let started = self.started;
             let account_entry = self.accounts.entry(name.clone());
             account_entry.or_insert_with(|| allowance::open(started)).record_request(unit_request);
@@ -72,33 +72,33 @@
         self.count_for_retry_budget(now.steady, &pool);
         let max_wait =
             timeout.min(MAX_WAIT_FLOOR.max(route.target_latency.mul_f64(MAX_WAIT_SHARE)));
-        Ok(Pending {
+        Ok(PendingRequest {
             account_rank: account_settings.map_or(0, |account| account.rank),
             lowest_account_rank: self.lowest_account_rank,
             tier: route.rank,
-            promote: now.steady + max_wait.mul_f64(PROMOTION_SHARE),
+            promote_at: now.steady + max_wait.mul_f64(PROMOTION_SHARE),
             is_promoted: false,
             arrived: now.steady,
-            until: now.steady + timeout,
-            give_up: now.steady + max_wait,
+            deadline: now.steady + timeout,
+            wait_deadline: now.steady + max_wait,
             units,
             route: route.name.clone(),
             account,
             pool,
             retry_policy: route.repeat,
             is_stream: route.is_stream,
-            attempts: route.max_attempts,
+            max_attempts: route.max_attempts,
             dispatches: 0,
-            charge: Charge::Free,
+            charge: RetryCharge::Nothing,
             may_have_run: false,
-            begun: false,
+            has_begun: false,
             has_failed_answer: false,
-            tried: Vec::new(),
-            rejected: Vec::new(),
-            reserved: Vec::new(),
-            reservations: 0,
-            next_reservation: now.steady,
-            chosen: None,
+            possibly_ran_at: Vec::new(),
+            rejected_by: Vec::new(),
+            reservations: Vec::new(),
+            reservation_count: 0,
+            next_reservation_at: now.steady,
+            is_selected_for_rollout: None,
             stage,
             request,
         })
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -30,7 +30,7 @@
 use super::{
     event::{Incarnation, Target},
     peers::TargetLoad,
-    pending::Reserved,
+    pending::QueuedReservation,
     rollout::{Lane, Version},
 };
 
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -10,7 +10,7 @@
 
 use crate::direct::{HASHER, event::FittingTargets};
 
-use super::{Capacity, Demand, Reserved, Slot, Target, TargetState, compare_costs};
+use super::{Capacity, Demand, QueuedReservation, Slot, Target, TargetState, compare_costs};
 
 /// First backoff from an agent that is unreachable; doubles with each repeat.
 const MIN_AGENT_BACKOFF: Duration = Duration::from_millis(250);
@@ -129,7 +129,7 @@
         &self,
         now: Instant,
         demand: &Demand<'_>,
-        reserved: &[Reserved],
+        reserved: &[QueuedReservation],
     ) -> Option<&TargetState> {
         let default_ms_per_token = self.mean_first_event_ms_per_token(demand.pool);
         let candidates = self.pool_targets(demand.pool);
@@ -172,7 +172,7 @@
 
     /// Reports whether a reservation may stay: its target and agent are usable, neither has changed, and the
     /// reservation states correctly whether the target is rate-limited.
-    pub fn is_reservation_valid(&self, now: Instant, reserved: &Reserved) -> bool {
+    pub fn is_reservation_valid(&self, now: Instant, reserved: &QueuedReservation) -> bool {
         let state = self.state(&reserved.target);
         let state = state.filter(|state| state.target.incarnation == reserved.incarnation);
         state.is_some_and(|state| {
@@ -180,7 +180,7 @@
             // A new reservation informs an agent of a limit that has been set or lifted since.
             is_usable
                 && state.agent == Some(reserved.agent)
-                && state.is_limited() == reserved.limited
+                && state.is_limited() == reserved.is_rate_limited
         })
     }
 
@@ -189,7 +189,7 @@
     pub fn take_granted_slot(
         &mut self,
         now: Instant,
-        reserved: &Reserved,
+        reserved: &QueuedReservation,
         demand: &Demand<'_>,
     ) -> Option<Slot> {
         let (default_ms_per_token, fastest) = (
@@ -202,7 +202,7 @@
     }
 
     /// Records the load that an agent reported with the grant of a reservation.
-    pub fn record_agent_load(&mut self, now: Instant, reserved: &Reserved, load: Load) {
+    pub fn record_agent_load(&mut self, now: Instant, reserved: &QueuedReservation, load: Load) {
         if let Some(state) = self.state_mut(&reserved.target, reserved.incarnation) {
             // The reported load includes the request that was just granted, hence the 1.
             state.others = load.running.saturating_sub(state.own + 1);
@@ -215,7 +215,7 @@
 
     /// Starts or doubles the backoff from an agent that is unreachable. Meanwhile entry processes share the
     /// target by the rows that they exchange.
-    pub fn mark_agent_unreachable(&mut self, now: Instant, reserved: &Reserved) {
+    pub fn mark_agent_unreachable(&mut self, now: Instant, reserved: &QueuedReservation) {
         let state = self.state_mut(&reserved.target, reserved.incarnation);
         let uses_same_agent = |state: &&mut TargetState| state.agent == Some(reserved.agent);
         if let Some(state) = state.filter(uses_same_agent).filter(|state| state.uses_agent(now)) {
@@ -230,7 +230,7 @@
     }
 
     /// Starts or doubles the backoff from a target that its agent can't reach.
-    pub fn mark_unreachable_by_agent(&mut self, now: Instant, reserved: &Reserved) {
+    pub fn mark_unreachable_by_agent(&mut self, now: Instant, reserved: &QueuedReservation) {
         if self.is_reservation_valid(now, reserved) {
             self.mark_down(now, &reserved.target, reserved.incarnation);
         }
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -16,7 +16,7 @@
     LIMIT_RETRY_MAX_S, LIMIT_WAIT_SHARE, State,
     allowance::{self, LimitShare, UnitRequest},
     event::{Effect, LimitShortage, Refusal, RefusalReason, Request, Ticket},
-    pending::{Pending, Stage},
+    pending::{PendingRequest, Stage},
     plan, refusal,
 };
 
@@ -38,30 +38,30 @@
             return;
         }
         self.next_grant = None;
-        for (account, queue) in std::mem::take(&mut self.waiting_for_limit) {
+        for (account, queue) in std::mem::take(&mut self.waiting_for_units) {
             let mut is_blocked = false;
             let mut still_waiting = BTreeSet::new();
-            for order in queue {
-                let Some(unit_request) = self.awaited_units(order.ticket) else {
+            for key in queue {
+                let Some(unit_request) = self.awaited_units(key.ticket) else {
                     continue;
                 };
                 // A request with stated tokens can't overtake another one that lacks units.
                 if is_blocked && unit_request.is_sized {
-                    still_waiting.insert(order);
+                    still_waiting.insert(key);
                     continue;
                 }
                 match self.spend(now, &account, unit_request) {
-                    Ok(()) => self.queue_for_target(order.ticket),
+                    Ok(()) => self.queue_for_target(key.ticket),
                     Err(shortage) => {
                         let at = now + refill_time(&shortage, shortage.needed);
                         self.next_grant = Some(self.next_grant.map_or(at, |known| known.min(at)));
                         is_blocked |= unit_request.is_sized;
-                        still_waiting.insert(order);
+                        still_waiting.insert(key);
                     }
                 }
             }
             if !still_waiting.is_empty() {
-                self.waiting_for_limit.insert(account, still_waiting);
+                self.waiting_for_units.insert(account, still_waiting);
             }
         }
     }
@@ -77,8 +77,8 @@
         let Some((shortage, wait)) = self.units_wait(now, ticket) else {
             return;
         };
-        let latest = |pending: &Pending| {
-            let longest_wait = pending.give_up.saturating_duration_since(pending.arrived);
+        let latest = |pending: &PendingRequest| {
+            let longest_wait = pending.wait_deadline.saturating_duration_since(pending.arrived);
             pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_SHARE)
         };
         let is_too_late =
@@ -99,7 +99,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let context = Box::new(self.refusal_context(now, ticket));
-        self.remove(ticket, effects);
+        self.end_request(ticket, effects);
         let refusal = Refusal {
             shortage: Some(shortage),
             ..refusal(RefusalReason::AccountLimit).with_retry_after(wait)
@@ -119,8 +119,8 @@
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
         let (limit, share) = self.limit(account)?;
-        let ahead = self.waiting_for_limit.get(account)?.range(..pending.order());
-        let ahead = ahead.filter_map(|order| self.awaited_units(order.ticket));
+        let ahead = self.waiting_for_units.get(account)?.range(..pending.queue_key());
+        let ahead = ahead.filter_map(|key| self.awaited_units(key.ticket));
         let ahead: f64 = ahead.filter(|_| unit_request.is_sized).map(|ahead| ahead.units).sum();
         let shortage = self.accounts.get(account)?.shortage(now, &limit, share, unit_request);
         Some((shortage, refill_time(&shortage, shortage.needed + ahead)))
@@ -159,7 +159,7 @@
     /// Returns the units that a request waits for; `None` where it doesn't wait for its account's limit.
     fn awaited_units(&self, ticket: Ticket) -> Option<UnitRequest> {
         match self.requests.get(&ticket)?.stage {
-            Stage::Limited(unit_request) => Some(unit_request),
+            Stage::WaitingForUnits(unit_request) => Some(unit_request),
             _ => None,
         }
     }
@@ -167,7 +167,7 @@
     /// Lets a request that got its units wait for room at a target.
     fn queue_for_target(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get_mut(&ticket) {
-            pending.stage = Stage::Waiting;
+            pending.stage = Stage::WaitingForSlot;
         }
         self.enqueue(ticket);
     }
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -44,7 +44,7 @@
 };
 
 use allowance::Allowance;
-use budget::Budget;
+use budget::RetryBudget;
 use capacity::{Capacity, Place, TargetState};
 use crashes::CrashCounts;
 pub use event::{
@@ -54,7 +54,7 @@
 };
 use holds::Holds;
 use peers::{AccountUsage, Peers, Row, TargetLimit};
-use pending::{Order, Pending, Stage};
+use pending::{PendingRequest, QueueKey, Stage};
 use plan::Configuration;
 use relay::{Era, Known, Listing, Topic};
 use rollout::Rollouts;
@@ -120,7 +120,7 @@
     /// requests with a key any more.
     pub peer_timeout: Duration,
     /// Limits of the retry budget of each pool.
-    pub retry_budget: budget::Rule,
+    pub retry_budget: budget::RetryBudgetRule,
     /// How far accounts may exceed their limits.
     pub tolerance: allowance::Tolerance,
     /// Share of a pool's requests, from 0 to 1, that a new version may get before it is judged good.
@@ -179,13 +179,13 @@
     has_received_offer: bool,
     capacity: Capacity,
     /// Requests that haven't ended.
-    requests: HashMap<Ticket, Pending>,
+    requests: HashMap<Ticket, PendingRequest>,
     /// Requests that wait for a slot, by pool, in the order in which they are dispatched.
-    waiting: BTreeMap<PoolName, BTreeSet<Order>>,
+    waiting: BTreeMap<PoolName, BTreeSet<QueueKey>>,
     /// Times at which waiting requests may be reserved at one more agent.
     reserve_at: BTreeSet<Instant>,
     /// Requests that wait for units of their account's limit.
-    waiting_for_limit: BTreeMap<AccountName, BTreeSet<Order>>,
+    waiting_for_units: BTreeMap<AccountName, BTreeSet<QueueKey>>,
     /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
     /// has to be computed again.
     next_grant: Option<Instant>,
@@ -194,7 +194,7 @@
     /// Use of the limit of each account.
     accounts: BTreeMap<AccountName, Allowance>,
     /// Retry budgets by pool.
-    budgets: BTreeMap<PoolName, Budget>,
+    budgets: BTreeMap<PoolName, RetryBudget>,
     /// Mean times for which requests hold their slots, by pool and tier.
     holds: Holds,
     rollouts: Rollouts,
@@ -299,7 +299,7 @@
         requests: HashMap::new(),
         waiting: BTreeMap::new(),
         reserve_at: BTreeSet::new(),
-        waiting_for_limit: BTreeMap::new(),
+        waiting_for_units: BTreeMap::new(),
         next_grant: None,
         timers: BTreeSet::new(),
         accounts: BTreeMap::new(),
@@ -325,26 +325,30 @@
     // After a suspension of the host the configuration may be out of date, so check that before the event.
     state.update_freshness(now, &mut effects);
     match event {
-        Event::RequestReceived(request) => state.arrive(now, request, &mut effects),
+        Event::RequestReceived(request) => state.handle_arrival(now, request, &mut effects),
         Event::Granted { ticket, number, load } => {
-            state.granted(now.steady, ticket, number, load, &mut effects);
+            state.handle_grant(now.steady, ticket, number, load, &mut effects);
         }
         Event::Denied { ticket, number, reason } => {
-            state.denied(now.steady, ticket, number, reason)
+            state.handle_denial(now.steady, ticket, number, reason)
+        }
+        Event::AnswerBegan { ticket } => {
+            state.handle_answer_began(now.steady, ticket, &mut effects)
         }
-        Event::AnswerBegan { ticket } => state.began(now.steady, ticket, &mut effects),
         Event::RateLimitStated { ticket, per_second } => {
-            state.limited(now.steady, ticket, per_second, &mut effects);
+            state.handle_rate_limit(now.steady, ticket, per_second, &mut effects);
+        }
+        Event::TargetUnresponsive { ticket, begun } => {
+            state.handle_unresponsive_target(now.steady, ticket, begun)
         }
-        Event::TargetUnresponsive { ticket, begun } => state.quiet(now.steady, ticket, begun),
         Event::TargetResumed { ticket } => {
-            state.stay(ticket, &mut effects);
+            state.cancel_search(ticket, &mut effects);
         }
         Event::DispatchEnded { ticket, outcome, begun, events } => {
-            state.ended(now, ticket, outcome, (begun, events), &mut effects);
+            state.handle_dispatch_ended(now, ticket, outcome, (begun, events), &mut effects);
         }
         Event::CallerDisconnected { ticket, .. } => {
-            state.remove(ticket, &mut effects);
+            state.end_request(ticket, &mut effects);
         }
         Event::ConfigurationRead(configuration) => {
             state.apply_configuration(configuration, &mut effects)
@@ -381,7 +385,7 @@
         }
         Event::RowsReceived(rows) => state.receive_rows(now.steady, rows, &mut effects),
         Event::Probed { target, reached } => {
-            state.probed(now.steady, &target, reached, &mut effects);
+            state.handle_probe_result(now.steady, &target, reached, &mut effects);
         }
         Event::Drain { end } => state.drain_end = Some(end),
         Event::Tick => state.update_peers(now.steady, &mut effects),
@@ -390,8 +394,8 @@
     state.drop_vanished_targets(now.steady, &mut effects);
     state.start_fetches(now.steady, &mut effects);
     state.admit_limited(now.steady);
-    state.expire(now.steady, &mut effects);
-    state.place(now, &mut effects);
+    state.handle_due_timers(now.steady, &mut effects);
+    state.dispatch_waiting(now, &mut effects);
     effects
 }
 
@@ -429,9 +433,8 @@
     /// Returns facts about the dispatch of a request; `None` where the request isn't in flight at a target.
     pub fn dispatch_view(&self, ticket: Ticket, now: Instant) -> Option<DispatchView<'_>> {
         let pending = self.requests.get(&ticket)?;
-        let running = pending.running()?;
-        let since = running.since;
-        let state = self.capacity.state(&running.slot.target);
+        let in_flight = pending.in_flight()?;
+        let state = self.capacity.state(&in_flight.slot.target);
         Some(DispatchView {
             id: &pending.request.id,
             route: &pending.route,
@@ -449,11 +452,11 @@
             account: pending.account.as_deref(),
             tier: pending.tier,
             token_ms: state.and_then(|state| state.pace()),
-            running_for: now.saturating_duration_since(since),
-            time_to_first_event: running.first,
-            timeout: pending.until.saturating_duration_since(pending.arrived),
+            running_for: now.saturating_duration_since(in_flight.dispatched_at),
+            time_to_first_event: in_flight.time_to_first_event,
+            timeout: pending.deadline.saturating_duration_since(pending.arrived),
             attempt: pending.dispatches,
-            is_seeking: matches!(pending.stage, Stage::Seeking(_)),
+            is_seeking: matches!(pending.stage, Stage::SeekingOtherTarget(_)),
         })
     }
 
@@ -471,13 +474,13 @@
             tier: Some(pending.tier),
             expected_tokens: pending.request.expected_tokens,
             waited: now.saturating_duration_since(pending.arrived),
-            max_wait: pending.give_up.saturating_duration_since(pending.arrived),
+            max_wait: pending.wait_deadline.saturating_duration_since(pending.arrived),
             fits: self.capacity.fits(now, &demand),
-            time_left: pending.until.saturating_duration_since(now),
-            has_begun: pending.begun,
-            attempts: (pending.tried.len(), pending.attempts),
+            time_left: pending.deadline.saturating_duration_since(now),
+            has_begun: pending.has_begun,
+            attempts: (pending.possibly_ran_at.len(), pending.max_attempts),
             is_quarantined: self.is_quarantined(&pending.request.fingerprint),
-            ahead: queue.map_or(0, |queue| queue.range(..pending.order()).count()),
+            ahead: queue.map_or(0, |queue| queue.range(..pending.queue_key()).count()),
             free_slots: free,
             slots,
             oldest_row: self.peers.oldest_current_row_age(now),
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -17,9 +17,9 @@
 
 /// Sort key of a queued request; the lowest key of a queue is dispatched first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Order {
+pub struct QueueKey {
     /// Ranks of account and tier, compared from left to right; 0 is the highest.
-    pub rank: [u32; 3],
+    pub ranks: [u32; 3],
     /// Arrival time of the request; of equal ranks the oldest request goes first.
     pub arrived: Instant,
     /// Number of the request in this process; makes the key unique.
@@ -28,15 +28,15 @@
 
 /// A dispatch that hasn't ended.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct InFlight {
     /// Slot that the dispatch occupies at its target.
     pub slot: Slot,
     /// Time of the dispatch.
-    pub since: Instant,
+    pub dispatched_at: Instant,
     /// Time from the dispatch to the first event or the head of the answer; `None` before that arrives.
-    pub first: Option<Duration>,
+    pub time_to_first_event: Option<Duration>,
     /// Whether the answer states a rate limit of the target.
-    pub limited: bool,
+    pub has_rate_limit: bool,
     /// Number of the reservation that the target's agent granted for the slot; `None` where the slot was
     /// taken without an agent.
     pub reservation: Option<u32>,
@@ -44,7 +44,7 @@
 
 /// Slot that is held at a second target for a request whose current target sends nothing.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldSlot {
     /// Slot at the second target.
     pub slot: Slot,
     /// Number of the reservation that the second target's agent granted for the slot; `None` where the slot
@@ -54,7 +54,7 @@
 
 /// A reservation that is queued at a target's agent.
 #[derive(Clone, Debug)]
-pub struct Reserved {
+pub struct QueuedReservation {
     /// Number of the reservation, from 1, unique within its request.
     pub number: u32,
     /// Target whose slot is requested.
@@ -63,41 +63,41 @@
     pub incarnation: Incarnation,
     /// Address on which the agent listens.
     pub agent: SocketAddr,
-    /// Whether the reservation told the agent that the target has a rate limit.
-    pub limited: bool,
+    /// Whether the reservation states a rate limit of the target to the agent.
+    pub is_rate_limited: bool,
 }
 
 /// Stage of a request between admission and its end.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// The request waits for units of its account's quota.
-    Limited(UnitRequest),
+    /// The request waits for units of its account's limit.
+    WaitingForUnits(UnitRequest),
     /// The request waits for a free slot at any target of its pool.
-    Waiting,
+    WaitingForSlot,
     /// The request is in flight at a target.
-    Running(Running),
+    InFlight(InFlight),
     /// The request is in flight at a target that sends nothing, and waits for a slot at another target.
-    Seeking(Running),
+    SeekingOtherTarget(InFlight),
     /// A slot is held at another target; the request is dispatched there once the dispatch to the target that
     /// sends nothing has ended.
-    Moving(Running, Held),
+    MovingToOtherTarget(InFlight, HeldSlot),
 }
 
 /// What the next dispatch of a request takes from the retry budget of its pool.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Charge {
+pub enum RetryCharge {
     /// The dispatch takes nothing from the budget.
-    Free,
+    Nothing,
     /// The dispatch takes one retry, which hasn't been taken yet; the request waits until one is available.
-    Due,
+    NotYetTaken,
     /// The dispatch takes one retry, which has been taken already and is returned if the dispatch doesn't
     /// happen.
-    Paid,
+    Taken,
 }
 
 /// A request that was admitted, and the state of its dispatches.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingRequest {
     /// Request as it arrived.
     pub request: Request,
     /// Name of the request's route, for logs.
@@ -114,17 +114,17 @@
     pub tier: u32,
     /// Time from which the account's rank takes precedence over the tier in the queue; not later than the
     /// end of the wait.
-    pub promote: Instant,
+    pub promote_at: Instant,
     /// Whether the account's rank already takes precedence.
     pub is_promoted: bool,
     /// Arrival time of the request.
     pub arrived: Instant,
     /// Deadline for the end of the answer.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Time at which the request is refused if it still waits for a slot; not later than the deadline for the
     /// end of the answer.
-    pub give_up: Instant,
-    /// Units that the request takes from its account's quota, once it no longer waits for them; 0 where the
+    pub wait_deadline: Instant,
+    /// Units that the request takes from its account's limit, once it no longer waits for them; 0 where the
     /// account has no limit.
     pub units: f64,
     /// Whether the request may be dispatched again after a target may have run it.
@@ -132,91 +132,91 @@
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// Maximum number of targets that may run the request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Number of dispatches so far.
     pub dispatches: u32,
     /// What the next dispatch takes from the pool's retry budget.
-    pub charge: Charge,
+    pub charge: RetryCharge,
     /// Whether any target may have run the request.
     pub may_have_run: bool,
     /// Whether a part of the answer was sent to the caller.
-    pub begun: bool,
+    pub has_begun: bool,
     /// Whether a target answered with a failure; it is passed to the caller if no other target answers.
     pub has_failed_answer: bool,
     /// Targets that may have run the request; it isn't dispatched to them again.
-    pub tried: Vec<TargetName>,
+    pub possibly_ran_at: Vec<TargetName>,
     /// Targets that rejected the request; other targets are preferred.
-    pub rejected: Vec<TargetName>,
+    pub rejected_by: Vec<TargetName>,
     /// Reservations that are queued at agents; empty unless the request waits for a slot.
-    pub reserved: Vec<Reserved>,
+    pub reservations: Vec<QueuedReservation>,
     /// Number of reservations made so far; the next one gets the next number.
-    pub reservations: u32,
+    pub reservation_count: u32,
     /// Time from which the request may be reserved at one more agent.
-    pub next_reservation: Instant,
+    pub next_reservation_at: Instant,
     /// Whether the request was selected for a version that is being rolled out; `None` before it was first
     /// considered for a slot, `Some(false)` again once it was dispatched.
-    pub chosen: Option<bool>,
+    pub is_selected_for_rollout: Option<bool>,
     /// Current stage of the request.
     pub stage: Stage,
 }
 
-impl Pending {
+impl PendingRequest {
     /// Returns the key by which the request is sorted in its queue.
     ///
     /// The account's rank takes precedence over the tier, so that overload sheds the requests of
     /// low-ranked accounts. It does so only in the last quarter of a request's wait: before that, a
     /// request can let higher tiers of all accounts go first and still be on time.
-    pub fn order(&self) -> Order {
+    pub fn queue_key(&self) -> QueueKey {
         // An interrupted answer is resumed before new answers begin: its caller already has a part of it,
         // which is lost if the rest doesn't follow.
-        if self.begun {
-            return Order { rank: [0; 3], arrived: self.arrived, ticket: self.request.ticket };
+        if self.has_begun {
+            return QueueKey { ranks: [0; 3], arrived: self.arrived, ticket: self.request.ticket };
         }
         let account = if self.is_promoted { self.account_rank } else { self.lowest_account_rank };
-        let rank = [account, self.tier, self.account_rank];
-        Order { rank, arrived: self.arrived, ticket: self.request.ticket }
+        let ranks = [account, self.tier, self.account_rank];
+        QueueKey { ranks, arrived: self.arrived, ticket: self.request.ticket }
     }
 
     /// Returns the time of the next queue timer of a waiting request: its promotion or, after that, the end
     /// of its wait.
     pub fn next_timer(&self) -> Instant {
-        if self.is_promoted { self.give_up } else { self.promote }
+        if self.is_promoted { self.wait_deadline } else { self.promote_at }
     }
 
     /// Returns whether the request may be dispatched again after `ran` targets may have run it.
-    pub fn may_repeat(&self, ran: usize) -> bool {
+    pub fn may_retry(&self, ran: usize) -> bool {
         let allowed = match self.retry_policy {
-            Repeat::Idempotent => !self.begun,
+            Repeat::Idempotent => !self.has_begun,
             Repeat::Resumable => self.is_stream,
             Repeat::Never => false,
         };
-        allowed && ran < self.attempts as usize
+        allowed && ran < self.max_attempts as usize
     }
 
     /// Returns the dispatch that is in flight; `None` while the request is only queued.
-    pub fn running(&self) -> Option<&Running> {
+    pub fn in_flight(&self) -> Option<&InFlight> {
         match &self.stage {
-            Stage::Running(running) | Stage::Seeking(running) | Stage::Moving(running, _) => {
-                Some(running)
-            }
-            Stage::Limited(_) | Stage::Waiting => None,
+            Stage::InFlight(in_flight)
+            | Stage::SeekingOtherTarget(in_flight)
+            | Stage::MovingToOtherTarget(in_flight, _) => Some(in_flight),
+            Stage::WaitingForUnits(_) | Stage::WaitingForSlot => None,
         }
     }
 
     /// Returns the dispatch that is in flight, for changes; `None` while the request is only queued.
-    pub fn running_mut(&mut self) -> Option<&mut Running> {
+    pub fn in_flight_mut(&mut self) -> Option<&mut InFlight> {
         match &mut self.stage {
-            Stage::Running(running) | Stage::Seeking(running) | Stage::Moving(running, _) => {
-                Some(running)
-            }
-            Stage::Limited(_) | Stage::Waiting => None,
+            Stage::InFlight(in_flight)
+            | Stage::SeekingOtherTarget(in_flight)
+            | Stage::MovingToOtherTarget(in_flight, _) => Some(in_flight),
+            Stage::WaitingForUnits(_) | Stage::WaitingForSlot => None,
         }
     }
 
     /// Withdraws the request's selection for a version that is being rolled out, so that it is dispatched to
     /// the established version. Returns whether it was selected.
     pub fn deselect_from_rollout(&mut self, rollouts: &mut Rollouts) -> bool {
-        let was_selected = self.chosen.replace(false) == Some(true);
+        let was_selected = self.is_selected_for_rollout.replace(false) == Some(true);
         if was_selected {
             rollouts.release(&self.pool, &self.route);
         }
@@ -238,7 +238,7 @@
             spread: self.request.spread,
             tokens: self.prompt_tokens(),
             output: self.request.expected_tokens.map_or(0.0, f64::from),
-            left: self.until.saturating_duration_since(now),
+            left: self.deadline.saturating_duration_since(now),
             tried,
             rejected,
             lane: Lane::Base,
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -1,7 +1,7 @@
 //! Queues of waiting requests, their timers, and dispatch in queue order.
 //!
 //! There is one queue for each pool, of requests that wait for a slot, and one for each client account, of
-//! requests that wait for units of the account's quota.
+//! requests that wait for units of the account's limit.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
     State, UNRESPONSIVE_TIMEOUT_FACTOR, UNRESPONSIVE_TIMEOUT_MIN, budget,
     capacity::{Demand, Slot},
     event::{Dispatch, Effect, Now, RefusalReason, Ticket},
-    pending::{Charge, Held, Pending, Running, Stage},
+    pending::{HeldSlot, InFlight, PendingRequest, RetryCharge, Stage},
     plan::Repeat,
     reserve,
     rollout::{Lane, Rollouts},
@@ -20,13 +20,13 @@
     pub(super) fn enqueue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
-                (Stage::Limited(_), Some(account)) => {
+                (Stage::WaitingForUnits(_), Some(account)) => {
                     self.next_grant = None;
-                    self.waiting_for_limit.entry(account.clone()).or_default()
+                    self.waiting_for_units.entry(account.clone()).or_default()
                 }
                 _ => self.waiting.entry(pending.pool.clone()).or_default(),
             };
-            queue.insert(pending.order());
+            queue.insert(pending.queue_key());
             self.timers.insert((pending.next_timer(), ticket));
         }
     }
@@ -41,15 +41,15 @@
     ) -> bool {
         self.dequeue(ticket);
         match self.requests.get_mut(&ticket) {
-            Some(pending) if pending.give_up > now => {
-                let previous_order = pending.order();
+            Some(pending) if pending.wait_deadline > now => {
+                let previous_key = pending.queue_key();
                 pending.is_promoted = true;
                 // A request that found no slot at a version that is being rolled out may still find one at
                 // the established version.
                 let was_selected = pending.deselect_from_rollout(&mut self.rollouts);
                 // Reservations carry the rank and the version of the request, so new ones are made.
-                if was_selected || pending.order().rank != previous_order.rank {
-                    pending.withdraw(effects);
+                if was_selected || pending.queue_key().ranks != previous_key.ranks {
+                    pending.withdraw_reservations(effects);
                 }
             }
             _ => return false,
@@ -63,26 +63,28 @@
     pub(super) fn dequeue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
-                (Stage::Limited(_), Some(account)) => self.waiting_for_limit.get_mut(account),
+                (Stage::WaitingForUnits(_), Some(account)) => {
+                    self.waiting_for_units.get_mut(account)
+                }
                 _ => self.waiting.get_mut(&pending.pool),
             };
             if let Some(queue) = queue {
-                queue.remove(&pending.order());
+                queue.remove(&pending.queue_key());
             }
             self.timers.remove(&(pending.next_timer(), ticket));
-            self.timers.remove(&(pending.until, ticket));
+            self.timers.remove(&(pending.deadline, ticket));
         }
     }
 
     /// Handles all timers that are due: frees a slot that was held for a move, promotes a request, ends its
     /// search for another target, or refuses it.
-    pub(super) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_due_timers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         while let Some(&(at, ticket)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, ticket));
-            if self.give_up_move(ticket, effects) || self.promote(now, ticket, effects) {
+            if self.cancel_move(ticket, effects) || self.promote(now, ticket, effects) {
                 continue;
             }
-            if self.stay(ticket, effects) {
+            if self.cancel_search(ticket, effects) {
                 continue;
             }
             if let Some((shortage, wait)) = self.units_wait(now, ticket) {
@@ -90,7 +92,7 @@
                 continue;
             }
             let reason = match self.requests.get(&ticket) {
-                Some(pending) if pending.until <= now => RefusalReason::DeadlineExceeded,
+                Some(pending) if pending.deadline <= now => RefusalReason::DeadlineExceeded,
                 _ => RefusalReason::NoFreeSlot,
             };
             self.refuse(now, ticket, reason, false, effects);
@@ -99,7 +101,7 @@
 
     /// Dispatches waiting requests in queue order while slots are free, and reserves slots at agents for the
     /// rest.
-    pub(super) fn place(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    pub(super) fn dispatch_waiting(&mut self, now: Now, effects: &mut Vec<Effect>) {
         // Drops the times that have passed; requests that still wait add new ones below.
         self.reserve_at = self.reserve_at.split_off(&now.steady);
         let (rule, processes, started) =
@@ -114,31 +116,32 @@
             // Whether a request for the established version may still find a slot at a target without an
             // agent, and whether one of the lowest tier may, which leaves slots to other tiers.
             let (mut has_room, mut has_room_for_lowest) = (ways.rows, true);
-            for order in queue.iter() {
-                let Some(pending) = self.requests.get_mut(&order.ticket) else {
-                    dequeued.push(*order);
+            for key in queue.iter() {
+                let Some(pending) = self.requests.get_mut(&key.ticket) else {
+                    dequeued.push(*key);
                     continue;
                 };
-                if pending.charge == Charge::Due {
+                if pending.charge == RetryCharge::NotYetTaken {
                     let budget = self.budgets.entry(pool.clone());
                     let budget = budget.or_insert_with(|| budget::open(started));
                     if !budget.take_retry(now.steady, &rule, processes) {
                         continue;
                     }
-                    pending.charge = Charge::Paid;
+                    pending.charge = RetryCharge::Taken;
                 }
                 // The lowest tier leaves slots to the others where its requests hold theirs for longest.
                 let is_lowest = self.lowest_tiers.get(pool) == Some(&pending.tier)
                     && self.holds.is_longest(pool, pending.tier);
                 // Uniform from 0 up to but excluding 1.
                 let spread = (pending.request.spread >> 12) as f64 / (1_u64 << 52) as f64;
-                let is_selected = *pending.chosen.get_or_insert_with(|| {
+                let is_selected = *pending.is_selected_for_rollout.get_or_insert_with(|| {
                     let max_share = self.settings.trial_share;
                     let pool_route = (pool, pending.route.as_str());
                     self.rollouts.choose(now.steady, pool_route, spread, max_share, is_in_minority)
                 });
                 let lane = self.rollouts.lane(now.steady, pool, is_selected);
-                let (tried, rejected) = (pending.tried.clone(), pending.rejected.clone());
+                let (tried, rejected) =
+                    (pending.possibly_ran_at.clone(), pending.rejected_by.clone());
                 let demand = Demand {
                     lane,
                     lowest: is_lowest,
@@ -148,13 +151,13 @@
                 if may_fit && (!is_lowest || has_room_for_lowest) {
                     if let Some(slot) = self.capacity.take(now.steady, self.process_index, &demand)
                     {
-                        dequeued.push(*order);
-                        self.timers.remove(&(pending.next_timer(), order.ticket));
-                        pending.withdraw(effects);
+                        dequeued.push(*key);
+                        self.timers.remove(&(pending.next_timer(), key.ticket));
+                        pending.withdraw_reservations(effects);
                         let rollouts = &mut self.rollouts;
-                        let effect = dispatch(now.steady, pending, slot, None, rollouts);
+                        let effect = assign_slot(now.steady, pending, slot, None, rollouts);
                         if matches!(effect, Effect::CancelDispatch { .. }) {
-                            self.timers.insert((pending.until, order.ticket));
+                            self.timers.insert((pending.deadline, key.ticket));
                         }
                         effects.push(effect);
                         continue;
@@ -163,20 +166,25 @@
                     // may still find one.
                     if lane == Lane::Base {
                         has_room_for_lowest &= !is_lowest;
-                        has_room = is_lowest || !pending.tried.is_empty();
+                        has_room = is_lowest || !pending.possibly_ran_at.is_empty();
                     }
                 }
                 // This also withdraws reservations at targets that no longer take requests.
-                if ways.agents || !pending.reserved.is_empty() {
-                    let next =
-                        reserve::seek(&mut self.capacity, now.steady, &demand, pending, effects);
+                if ways.agents || !pending.reservations.is_empty() {
+                    let next = reserve::update_reservations(
+                        &mut self.capacity,
+                        now.steady,
+                        &demand,
+                        pending,
+                        effects,
+                    );
                     self.reserve_at.extend(next);
                 } else if !has_room {
                     break;
                 }
             }
-            for order in dequeued {
-                queue.remove(&order);
+            for key in dequeued {
+                queue.remove(&key);
             }
         }
     }
@@ -184,17 +192,17 @@
 
 /// Assigns a slot to a request. Returns the effect that dispatches it or, where the request is still in
 /// flight at another target, the effect that ends that dispatch; the slot is held until it has ended.
-pub(super) fn dispatch(
+pub(super) fn assign_slot(
     now: Instant,
-    pending: &mut Pending,
+    pending: &mut PendingRequest,
     slot: Slot,
     reservation: Option<u32>,
     rollouts: &mut Rollouts,
 ) -> Effect {
-    match std::mem::replace(&mut pending.stage, Stage::Waiting) {
-        Stage::Seeking(running) => {
+    match std::mem::replace(&mut pending.stage, Stage::WaitingForSlot) {
+        Stage::SeekingOtherTarget(in_flight) => {
             let target = slot.target.clone();
-            pending.stage = Stage::Moving(running, Held { slot, reservation });
+            pending.stage = Stage::MovingToOtherTarget(in_flight, HeldSlot { slot, reservation });
             Effect::CancelDispatch { ticket: pending.request.ticket, target }
         }
         _ => Effect::Dispatch(start_dispatch(now, pending, slot, reservation, rollouts)),
@@ -204,13 +212,13 @@
 /// Marks a request as running in a slot and returns what is needed to send it to the slot's target.
 pub(super) fn start_dispatch(
     now: Instant,
-    pending: &mut Pending,
+    pending: &mut PendingRequest,
     slot: Slot,
     reservation: Option<u32>,
     rollouts: &mut Rollouts,
 ) -> Dispatch {
     pending.dispatches += 1;
-    pending.charge = Charge::Free;
+    pending.charge = RetryCharge::Nothing;
     // The selection for a rollout is used up: any retry goes to the established version.
     pending.deselect_from_rollout(rollouts);
     rollouts.dispatched(&pending.pool, &pending.route, slot.ordered);
@@ -221,16 +229,21 @@
         target: slot.target.clone(),
         address: slot.address,
         unresponsive_timeout: pending
-            .may_repeat(pending.tried.len() + 1)
+            .may_retry(pending.possibly_ran_at.len() + 1)
             .then_some(unresponsive_timeout),
         account: pending.account.clone(),
         tier: pending.tier,
         is_repeatable: pending.retry_policy != Repeat::Never,
-        deadline: pending.until,
+        deadline: pending.deadline,
         is_stream: pending.is_stream,
         attempt: pending.dispatches,
     };
-    pending.stage =
-        Stage::Running(Running { slot, since: now, first: None, limited: false, reservation });
+    pending.stage = Stage::InFlight(InFlight {
+        slot,
+        dispatched_at: now,
+        time_to_first_event: None,
+        has_rate_limit: false,
+        reservation,
+    });
     dispatch
 }
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -13,18 +13,18 @@
 
 impl State {
     /// Handles an answer that names its target's rate limit, in requests per second.
-    pub(super) fn limited(
+    pub(super) fn handle_rate_limit(
         &mut self,
         now: Instant,
         ticket: Ticket,
         per_second: f64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(running) = self.running(ticket) else {
+        let Some(in_flight) = self.in_flight(ticket) else {
             return;
         };
-        running.limited = true;
-        let (name, incarnation) = (running.slot.target.clone(), running.slot.incarnation);
+        in_flight.has_rate_limit = true;
+        let (name, incarnation) = (in_flight.slot.target.clone(), in_flight.slot.incarnation);
         let news = News { interval: Some(rate::interval(per_second)), at: now };
         if self.capacity.record_limit(now, &name, incarnation, news) {
             effects.push(Effect::Log(LogEntry::RateLimitChanged {
@@ -35,7 +35,7 @@
     }
 
     /// Records the limits in another process's row, which was made `age` ago.
-    pub(super) fn hear_limits(
+    pub(super) fn record_peer_limits(
         &mut self,
         now: Instant,
         age: Duration,
@@ -56,7 +56,7 @@
     }
 
     /// Handles an answer that names no rate limit, to a request that was dispatched at `dispatched`.
-    pub(super) fn unlimited(
+    pub(super) fn handle_no_rate_limit(
         &mut self,
         now: Instant,
         slot: &Slot,
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -13,7 +13,7 @@
     State,
     capacity::{Capacity, Demand, Slot},
     event::{DenialReason, Effect, Reservation, Ticket},
-    pending::{Held, Order, Pending, Reserved, Running},
+    pending::{HeldSlot, InFlight, PendingRequest, QueueKey, QueuedReservation},
     queue,
 };
 
@@ -34,61 +34,60 @@
 
 /// Returns the rank of a request in its pool's queue as one number, by which agents compare the requests of
 /// all processes. Ranks above the highest value of their part are treated as that value.
-fn pack_rank(order: &Order) -> Rank {
-    let [first, tier, account] = order.rank;
+fn pack_rank(key: &QueueKey) -> Rank {
+    let [first, tier, account] = key.ranks;
     let packed = (first.min(MAX_PACKED_ACCOUNT_RANK) << 6)
         | (tier.min(MAX_PACKED_PART) << 3)
         | account.min(MAX_PACKED_PART);
     packed.try_into().unwrap_or(Rank::MAX)
 }
 
-impl Pending {
+impl PendingRequest {
     /// Reports whether the request should make another reservation now.
     fn needs_another_reservation(&self, now: Instant) -> bool {
-        let count = self.reserved.len();
-        count < INITIAL_RESERVATIONS || (count < MAX_RESERVATIONS && self.next_reservation <= now)
+        let count = self.reservations.len();
+        count < INITIAL_RESERVATIONS
+            || (count < MAX_RESERVATIONS && self.next_reservation_at <= now)
     }
 
     /// Withdraws all reservations of the request.
-    pub(super) fn withdraw(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn withdraw_reservations(&mut self, effects: &mut Vec<Effect>) {
         let ticket = self.request.ticket;
-        let withdrawn = self.reserved.drain(..).map(|reserved| reserved.number);
+        let withdrawn = self.reservations.drain(..).map(|reserved| reserved.number);
         effects.extend(withdrawn.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
 
     /// Removes the reservation with this number and returns it; `None` if the request has no such
     /// reservation.
-    fn take_reservation(&mut self, number: u32) -> Option<Reserved> {
-        let index = self.reserved.iter().position(|reserved| reserved.number == number)?;
-        Some(self.reserved.swap_remove(index))
+    fn take_reservation(&mut self, number: u32) -> Option<QueuedReservation> {
+        let index = self.reservations.iter().position(|reserved| reserved.number == number)?;
+        Some(self.reservations.swap_remove(index))
     }
 }
 
 /// Makes the reservations of a waiting request that are due, and withdraws those that are no longer valid,
 /// such as those at targets that accept no more requests. Returns when the next reservation is due; `None` if
 /// the request has the maximum number of reservations.
-pub(super) fn seek(
+pub(super) fn update_reservations(
     capacity: &mut Capacity,
     now: Instant,
     demand: &Demand<'_>,
-    pending: &mut Pending,
+    pending: &mut PendingRequest,
     effects: &mut Vec<Effect>,
 ) -> Option<Instant> {
     let ticket = pending.request.ticket;
     let (valid, invalid) = pending
-        .reserved
+        .reservations
         .drain(..)
         .partition(|reserved| capacity.is_reservation_valid(now, reserved));
-    pending.reserved = valid;
-    effects.extend(
-        invalid
-            .iter()
-            .map(|Reserved { number, .. }| Effect::WithdrawReservation { ticket, number: *number }),
-    );
+    pending.reservations = valid;
+    effects.extend(invalid.iter().map(|QueuedReservation { number, .. }| {
+        Effect::WithdrawReservation { ticket, number: *number }
+    }));
     while pending.needs_another_reservation(now) {
-        let count = u32::try_from(pending.reserved.len()).unwrap_or(u32::MAX);
-        pending.next_reservation = now + BASE_RESERVATION_DELAY * 2_u32.saturating_pow(count);
-        let chosen = capacity.choose_target(now, demand, &pending.reserved);
+        let count = u32::try_from(pending.reservations.len()).unwrap_or(u32::MAX);
+        pending.next_reservation_at = now + BASE_RESERVATION_DELAY * 2_u32.saturating_pow(count);
+        let chosen = capacity.choose_target(now, demand, &pending.reservations);
         let Some((state, agent)) = chosen.and_then(|state| Some((state, state.agent?))) else {
             break;
         };
@@ -97,11 +96,17 @@
         // Of the requests of a tier, those that fit the fewest targets go first: the others can be served by
         // other targets.
         let closed_ratio = capacity.fits(now, demand).unfitting_share();
-        let boost = (pending.promote - pending.arrived).mul_f64(MAX_BOOST_RATIO * closed_ratio);
-        pending.reservations += 1;
-        let number = pending.reservations;
+        let boost = (pending.promote_at - pending.arrived).mul_f64(MAX_BOOST_RATIO * closed_ratio);
+        pending.reservation_count += 1;
+        let number = pending.reservation_count;
         let (name, incarnation) = (target.name.clone(), target.incarnation);
-        pending.reserved.push(Reserved { number, target: name, incarnation, agent, limited });
+        pending.reservations.push(QueuedReservation {
+            number,
+            target: name,
+            incarnation,
+            agent,
+            is_rate_limited: limited,
+        });
         capacity.count_reservation(now, &target.name);
         effects.push(Effect::Reserve(Reservation {
             ticket,
@@ -112,19 +117,19 @@
             slots,
             is_local_agent: target.agent_address == Some(agent),
             limit,
-            rank: pack_rank(&pending.order()),
-            timeout: pending.give_up.saturating_duration_since(now),
+            rank: pack_rank(&pending.queue_key()),
+            timeout: pending.wait_deadline.saturating_duration_since(now),
             recency_boost: boost,
             tokens: pending.tokens(),
         }));
     }
-    (pending.reserved.len() < MAX_RESERVATIONS).then_some(pending.next_reservation)
+    (pending.reservations.len() < MAX_RESERVATIONS).then_some(pending.next_reservation_at)
 }
 
 impl State {
     /// Handles a grant of an agent: dispatches the request to the agent's target. Withdraws the reservation
     /// if the request no longer has it or the target is no longer suitable.
-    pub(super) fn granted(
+    pub(super) fn handle_grant(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -137,11 +142,11 @@
         };
         self.dequeue(ticket);
         if let Some(pending) = self.requests.get_mut(&ticket) {
-            pending.withdraw(effects);
+            pending.withdraw_reservations(effects);
             let rollouts = &mut self.rollouts;
-            let effect = queue::dispatch(now, pending, slot, Some(number), rollouts);
+            let effect = queue::assign_slot(now, pending, slot, Some(number), rollouts);
             if matches!(effect, Effect::CancelDispatch { .. }) {
-                self.timers.insert((pending.until, ticket));
+                self.timers.insert((pending.deadline, ticket));
             }
             effects.push(effect);
         }
@@ -159,8 +164,9 @@
         let pending = self.requests.get_mut(&ticket)?;
         let reserved = pending.take_reservation(number)?;
         self.capacity.record_agent_load(now, &reserved, load);
-        let lane = self.rollouts.lane(now, &pending.pool, pending.chosen == Some(true));
-        let avoided = (&*pending.tried, &*pending.rejected);
+        let lane =
+            self.rollouts.lane(now, &pending.pool, pending.is_selected_for_rollout == Some(true));
+        let avoided = (&*pending.possibly_ran_at, &*pending.rejected_by);
         let demand = pending.demand(now, &pending.pool, &self.settings.zone, avoided);
         self.capacity.take_granted_slot(now, &reserved, &Demand { lane, ..demand })
     }
@@ -168,7 +174,7 @@
     /// Handles a reservation that ended without a grant. If the agent can't reach its target, starts a
     /// backoff from the target; if only the agent is unreachable, from the agent, and the target is meanwhile
     /// shared by the rows that entry processes exchange.
-    pub(super) fn denied(
+    pub(super) fn handle_denial(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -189,14 +195,24 @@
     }
 
     /// Releases the slot of a dispatch that ended and withdraws its reservation at the agent, if any.
-    pub(super) fn release(&mut self, ticket: Ticket, running: &Running, effects: &mut Vec<Effect>) {
-        self.capacity.release(&running.slot);
-        let number = running.reservation;
+    pub(super) fn release_dispatch(
+        &mut self,
+        ticket: Ticket,
+        in_flight: &InFlight,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.capacity.release(&in_flight.slot);
+        let number = in_flight.reservation;
         effects.extend(number.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
 
     /// Releases a slot that a request held but didn't use, and withdraws its reservation, if any.
-    pub(super) fn release_held(&mut self, ticket: Ticket, held: &Held, effects: &mut Vec<Effect>) {
+    pub(super) fn release_held_slot(
+        &mut self,
+        ticket: Ticket,
+        held: &HeldSlot,
+        effects: &mut Vec<Effect>,
+    ) {
         self.capacity.release(&held.slot);
         effects
             .extend(held.reservation.map(|number| Effect::WithdrawReservation { ticket, number }));
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -7,10 +7,10 @@
 use super::{
     BrokenDispatch, CRASH_WINDOW, QUARANTINE_CRASHES, RETRY_AFTER_MAX, RETRY_AFTER_SHARE,
     RETRY_WAIT_MAX, State,
-    budget::{self, Budget},
+    budget::{self, RetryBudget},
     capacity::Slot,
     event::{Effect, LogEntry, Now, Outcome, Refusal, RefusalReason, Ticket},
-    pending::{Charge, Held, Pending, Running, Stage},
+    pending::{HeldSlot, InFlight, PendingRequest, RetryCharge, Stage},
     queue,
 };
 
@@ -21,36 +21,41 @@
     /// The request waits for a slot at another target.
     Waiting,
     /// A slot is held for the request at another target.
-    Found(Held),
+    Found(HeldSlot),
 }
 
 impl State {
     /// Handles the first event or the head of an answer: records the time that it took, and that the target
     /// states no rate limit where the answer has none.
-    pub(super) fn began(&mut self, now: Instant, ticket: Ticket, effects: &mut Vec<Effect>) {
-        let Some(running) = self.running(ticket) else {
+    pub(super) fn handle_answer_began(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(in_flight) = self.in_flight(ticket) else {
             return;
         };
-        let time_to_first_event = now.saturating_duration_since(running.since);
-        running.first = Some(time_to_first_event);
-        let Running { mut slot, since, limited, .. } = running.clone();
+        let time_to_first_event = now.saturating_duration_since(in_flight.dispatched_at);
+        in_flight.time_to_first_event = Some(time_to_first_event);
+        let InFlight { mut slot, dispatched_at, has_rate_limit, .. } = in_flight.clone();
         self.capacity.learn(&mut slot, time_to_first_event);
-        if !limited {
-            self.unlimited(now, &slot, since, effects);
+        if !has_rate_limit {
+            self.handle_no_rate_limit(now, &slot, dispatched_at, effects);
         }
-        if let Some(running) = self.running(ticket) {
-            running.slot = slot;
+        if let Some(in_flight) = self.in_flight(ticket) {
+            in_flight.slot = slot;
         }
     }
 
     /// Returns a request's dispatch that is in flight; `None` where the request has ended or is only queued.
-    pub(super) fn running(&mut self, ticket: Ticket) -> Option<&mut Running> {
-        self.requests.get_mut(&ticket)?.running_mut()
+    pub(super) fn in_flight(&mut self, ticket: Ticket) -> Option<&mut InFlight> {
+        self.requests.get_mut(&ticket)?.in_flight_mut()
     }
 
     /// Handles the end of a dispatch: frees its slot, records the outcome for the target, and ends, retries
     /// or refuses the request. `events` counts the stream events of this dispatch.
-    pub(super) fn ended(
+    pub(super) fn handle_dispatch_ended(
         &mut self,
         now: Now,
         ticket: Ticket,
@@ -62,34 +67,34 @@
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let stage = std::mem::replace(&mut pending.stage, Stage::Waiting);
-        let (running, search) = match stage {
-            Stage::Running(running) => (running, Search::NotStarted),
-            Stage::Seeking(running) => (running, Search::Waiting),
-            Stage::Moving(running, held) => (running, Search::Found(held)),
+        let stage = std::mem::replace(&mut pending.stage, Stage::WaitingForSlot);
+        let (in_flight, search) = match stage {
+            Stage::InFlight(in_flight) => (in_flight, Search::NotStarted),
+            Stage::SeekingOtherTarget(in_flight) => (in_flight, Search::Waiting),
+            Stage::MovingToOtherTarget(in_flight, held) => (in_flight, Search::Found(held)),
             stage => {
                 pending.stage = stage;
                 return self.enqueue(ticket);
             }
         };
-        let target = running.slot.target.clone();
-        pending.begun |= begun || events > 0;
+        let target = in_flight.slot.target.clone();
+        pending.has_begun |= begun || events > 0;
         pending.may_have_run |= outcome.may_have_run();
         pending.has_failed_answer |= outcome == Outcome::Failed;
         let (pool, tier) = (pending.pool.clone(), pending.tier);
         if outcome == Outcome::Completed {
-            let hold_time = now.steady.saturating_duration_since(running.since);
+            let hold_time = now.steady.saturating_duration_since(in_flight.dispatched_at);
             self.holds.learn(&pool, tier, hold_time);
         }
-        self.record_version_result(now.steady, ticket, &running, (outcome, events));
-        self.release(ticket, &running, effects);
-        self.record_outcome(now.steady, ticket, &running.slot, outcome, effects);
+        self.record_version_result(now.steady, ticket, &in_flight, (outcome, events));
+        self.release_dispatch(ticket, &in_flight, effects);
+        self.record_outcome(now.steady, ticket, &in_flight.slot, outcome, effects);
         if matches!(outcome, Outcome::Completed | Outcome::DeadlineExceeded) {
             if let Search::Found(held) = &search {
-                self.release_held(ticket, held, effects);
+                self.release_held_slot(ticket, held, effects);
             }
             if outcome == Outcome::Completed {
-                self.remove(ticket, effects);
+                self.end_request(ticket, effects);
             } else {
                 self.refuse(
                     now.steady,
@@ -111,7 +116,7 @@
             Outcome::Unreachable => self.requeue_unexecuted(now, ticket, false, effects),
             _ => {
                 if outcome == Outcome::Unresponsive {
-                    self.capacity.mark_down(now.steady, &target, running.slot.incarnation);
+                    self.capacity.mark_down(now.steady, &target, in_flight.slot.incarnation);
                 }
                 self.retry_executed(now, ticket, target, effects);
             }
@@ -142,7 +147,7 @@
         };
         match outcome {
             Outcome::Rejected => {
-                pending.rejected.push(slot.target.clone());
+                pending.rejected_by.push(slot.target.clone());
                 self.capacity.mark_full(now, slot);
             }
             Outcome::Replaced => self.capacity.mark_gone(slot),
@@ -151,12 +156,12 @@
                 self.count_crashes(now, &slot.target, false, effects);
             }
             Outcome::Incomplete { crashed: true } => {
-                let body = pending.request.fingerprint;
+                let fingerprint = pending.request.fingerprint;
                 let target = slot.target.clone();
-                let loss =
-                    BrokenDispatch { at: now, target, fingerprint: body, is_target_reached: false };
+                let broken =
+                    BrokenDispatch { at: now, target, fingerprint, is_target_reached: false };
                 self.broken_dispatches.retain(|known| now.duration_since(known.at) < CRASH_WINDOW);
-                self.broken_dispatches.push(loss);
+                self.broken_dispatches.push(broken);
                 self.probe(&slot.target, effects);
             }
             Outcome::Completed
@@ -182,20 +187,20 @@
         };
         let may_have_run = outcome.may_have_run();
         if !may_have_run {
-            pending.tried.pop();
+            pending.possibly_ran_at.pop();
         }
-        if !pending.begun {
-            pending.give_up = pending.until.min(now + RETRY_WAIT_MAX);
+        if !pending.has_begun {
+            pending.wait_deadline = pending.deadline.min(now + RETRY_WAIT_MAX);
         }
         // The answer may have begun after the search was started, which rules out retries of some routes.
-        let allowed = pending.may_repeat(pending.tried.len());
+        let allowed = pending.may_retry(pending.possibly_ran_at.len());
         let body = pending.request.fingerprint;
         let allowed = allowed && !self.is_quarantined(&body);
         // The other target may have stopped taking requests since the slot was taken.
         let held = match search {
             Search::Found(held) if allowed && self.capacity.is_open(now, &held.slot) => Some(held),
             Search::Found(held) => {
-                self.release_held(ticket, &held, effects);
+                self.release_held_slot(ticket, &held, effects);
                 None
             }
             Search::NotStarted | Search::Waiting => None,
@@ -206,7 +211,7 @@
             return self.refuse(now, ticket, reason, may_have_run, effects);
         }
         match (held, self.requests.get_mut(&ticket)) {
-            (Some(Held { slot, reservation }), Some(pending)) => {
+            (Some(HeldSlot { slot, reservation }), Some(pending)) => {
                 let dispatch =
                     queue::start_dispatch(now, pending, slot, reservation, &mut self.rollouts);
                 effects.push(Effect::Dispatch(dispatch));
@@ -229,8 +234,8 @@
             return;
         };
         let pool = pending.pool.clone();
-        if was_delivered && pending.begun {
-            pending.charge = Charge::Due;
+        if was_delivered && pending.has_begun {
+            pending.charge = RetryCharge::NotYetTaken;
         } else if was_delivered && !self.take_retry(now.steady, &pool) {
             return self.refuse(
                 now.steady,
@@ -255,17 +260,18 @@
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
-        pending.tried.push(target);
-        let allowed = pending.may_repeat(pending.tried.len());
+        pending.possibly_ran_at.push(target);
+        let allowed = pending.may_retry(pending.possibly_ran_at.len());
         let (pool, body) = (pending.pool.clone(), pending.request.fingerprint);
-        let begun = pending.begun;
+        let begun = pending.has_begun;
         let is_harmless = !self.is_quarantined(&body);
         // An interrupted answer waits for a retry and a slot until the caller's deadline.
         if allowed && is_harmless && (begun || self.take_retry(now.steady, &pool)) {
             if let Some(pending) = self.requests.get_mut(&ticket) {
                 let wait = now.steady + RETRY_WAIT_MAX;
-                pending.charge = if begun { Charge::Due } else { Charge::Paid };
-                pending.give_up = if begun { pending.until } else { pending.until.min(wait) };
+                pending.charge = if begun { RetryCharge::NotYetTaken } else { RetryCharge::Taken };
+                pending.wait_deadline =
+                    if begun { pending.deadline } else { pending.deadline.min(wait) };
             }
             return self.enqueue(ticket);
         }
@@ -285,7 +291,7 @@
     }
 
     /// Returns the retry budget of a pool; a new one holds no retries.
-    fn budget(&mut self, pool: &PoolName) -> &mut Budget {
+    fn budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
         let started = self.started;
         self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(started))
     }
@@ -302,7 +308,7 @@
     }
 
     /// Handles the result of a probe; `reached` is `true` where the target took the connection.
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -313,8 +319,9 @@
             return;
         };
         if reached {
-            let lost = self.broken_dispatches.iter_mut().filter(|loss| loss.target == *target);
-            return lost.for_each(|loss| loss.is_target_reached = true);
+            let broken =
+                self.broken_dispatches.iter_mut().filter(|broken| broken.target == *target);
+            return broken.for_each(|broken| broken.is_target_reached = true);
         }
         self.capacity.mark_down(now, target, incarnation);
         self.count_crashes(now, target, false, effects);
@@ -331,9 +338,10 @@
         restarted: bool,
         effects: &mut Vec<Effect>,
     ) {
-        self.broken_dispatches.retain(|loss| now.duration_since(loss.at) < CRASH_WINDOW);
-        let is_crash =
-            |loss: &BrokenDispatch| loss.target == target && (restarted || !loss.is_target_reached);
+        self.broken_dispatches.retain(|broken| now.duration_since(broken.at) < CRASH_WINDOW);
+        let is_crash = |broken: &BrokenDispatch| {
+            broken.target == target && (restarted || !broken.is_target_reached)
+        };
         let (crashes, rest) =
             std::mem::take(&mut self.broken_dispatches).into_iter().partition(is_crash);
         self.broken_dispatches = rest;
@@ -342,10 +350,10 @@
             let (target, requests) = (target.to_owned(), crashes.len() as u32);
             effects.push(Effect::Log(LogEntry::Crashed { target, requests }));
         }
-        for loss in crashes {
+        for broken in crashes {
             let own_process = (self.settings.address, self.settings.incarnation);
-            if self.crashes.add(now, loss.fingerprint, own_process) == QUARANTINE_CRASHES {
-                effects.push(Effect::Log(LogEntry::Quarantined(loss.fingerprint)));
+            if self.crashes.add(now, broken.fingerprint, own_process) == QUARANTINE_CRASHES {
+                effects.push(Effect::Log(LogEntry::Quarantined(broken.fingerprint)));
             }
         }
     }
@@ -367,10 +375,10 @@
         effects: &mut Vec<Effect>,
     ) {
         let context = Box::new(self.refusal_context(now, ticket));
-        let Some(pending) = self.remove(ticket, effects) else {
+        let Some(pending) = self.end_request(ticket, effects) else {
             return;
         };
-        if pending.has_failed_answer && !pending.begun {
+        if pending.has_failed_answer && !pending.has_begun {
             return effects.push(Effect::PassFailure { ticket });
         }
         let not_run = !ran && !pending.may_have_run;
@@ -383,7 +391,7 @@
             ) => RefusalReason::Lost,
             _ => reason,
         };
-        let left = pending.until.saturating_duration_since(now);
+        let left = pending.deadline.saturating_duration_since(now);
         let retry_after = not_run.then_some(left.mul_f64(RETRY_AFTER_SHARE).min(RETRY_AFTER_MAX));
         let refusal = Refusal { reason, not_run, retry_after, shortage: None };
         effects.push(Effect::Refuse { ticket, refusal, context });
@@ -391,26 +399,30 @@
 
     /// Ends a request and frees all that it holds: queue entry, reservations, slots, an unused retry and,
     /// where it provably didn't run, its quota units. Returns `None` where the request had ended before.
-    pub(super) fn remove(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> Option<Pending> {
+    pub(super) fn end_request(
+        &mut self,
+        ticket: Ticket,
+        effects: &mut Vec<Effect>,
+    ) -> Option<PendingRequest> {
         self.dequeue(ticket);
-        self.refund(ticket);
+        self.refund_retry(ticket);
         let mut pending = self.requests.remove(&ticket)?;
-        pending.withdraw(effects);
+        pending.withdraw_reservations(effects);
         pending.deselect_from_rollout(&mut self.rollouts);
-        if let Some(running) = pending.running() {
-            self.release(ticket, running, effects);
+        if let Some(in_flight) = pending.in_flight() {
+            self.release_dispatch(ticket, in_flight, effects);
         }
-        if let Stage::Moving(_, held) = &pending.stage {
-            self.release_held(ticket, held, effects);
+        if let Stage::MovingToOtherTarget(_, held) = &pending.stage {
+            self.release_held_slot(ticket, held, effects);
         }
-        if !pending.may_have_run && matches!(pending.stage, Stage::Waiting) {
+        if !pending.may_have_run && matches!(pending.stage, Stage::WaitingForSlot) {
             self.return_units(&pending);
         }
         Some(pending)
     }
 
     /// Credits the units of a request that didn't run to its account's quota.
-    pub(super) fn return_units(&mut self, pending: &Pending) {
+    pub(super) fn return_units(&mut self, pending: &PendingRequest) {
         let allowance = pending.account.as_ref().and_then(|name| self.accounts.get_mut(name));
         if let Some(allowance) = allowance {
             allowance.refund(pending.units);
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -6,7 +6,7 @@
     State,
     capacity::Capacity,
     event::{Effect, LogEntry, Outcome, Target, Ticket},
-    pending::Running,
+    pending::InFlight,
     rollout::{Answer, Order, Others, Report, Share, Step},
 };
 
@@ -37,8 +37,8 @@
 
     /// Returns the target at which a request is in flight; `None` where it is at none.
     pub fn target_of(&self, ticket: Ticket) -> Option<&Target> {
-        let running = self.requests.get(&ticket)?.running()?;
-        Some(&self.capacity.state(&running.slot.target)?.target)
+        let in_flight = self.requests.get(&ticket)?.in_flight()?;
+        Some(&self.capacity.state(&in_flight.slot.target)?.target)
     }
 
     /// Returns the state of rollouts that this process sends to the others in its row.
@@ -96,7 +96,7 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        running: &Running,
+        in_flight: &InFlight,
         (outcome, events): (Outcome, u32),
     ) {
         let Some(pending) = self.requests.get(&ticket).filter(|_| self.rollouts.any_active())
@@ -105,10 +105,10 @@
         };
         let answer = match outcome {
             Outcome::Completed => {
-                let duration = now.saturating_duration_since(running.since);
-                let first = running.first.unwrap_or(duration);
+                let duration = now.saturating_duration_since(in_flight.dispatched_at);
+                let first = in_flight.time_to_first_event.unwrap_or(duration);
                 let rest = (duration.saturating_sub(first), events.saturating_sub(1));
-                Answer::Whole { first: running.slot.each_token(first), rest }
+                Answer::Whole { first: in_flight.slot.each_token(first), rest }
             }
             Outcome::Failed
             | Outcome::Incomplete { .. }
@@ -116,7 +116,7 @@
             | Outcome::DeadlineExceeded => Answer::Failed,
             Outcome::Rejected | Outcome::Replaced | Outcome::Unreachable => return,
         };
-        self.rollouts.answered(&pending.pool, &pending.route, running.slot.ordered, answer);
+        self.rollouts.answered(&pending.pool, &pending.route, in_flight.slot.ordered, answer);
     }
 
     /// Applies the state of rollouts in another process's row, which was made `age` ago.
--- a/components/scheduler/tests/direct_repeats.rs
+++ b/components/scheduler/tests/direct_repeats.rs
@@ -50,7 +50,7 @@
         let retries = world.arrivals.iter().filter(|arrival| arrival.again);
         let retries =
             retries.filter(|arrival| (start..start + window).contains(&arrival.at)).count();
-        (retries, (rule.ratio * most_requests as f64 + rule.slack) as usize)
+        (retries, (rule.retries_per_request * most_requests as f64 + rule.extra_retries) as usize)
     });
     windows
         .max_by_key(|&(retries, allowed)| retries as i64 - allowed as i64)
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -13,7 +13,7 @@
     self, Dispatch, Effect, Event, Now, Outcome, Refusal, Request, Reservation, Settings, State,
     Target, Ticket, Tokens,
     allowance::Tolerance,
-    budget::Rule,
+    budget::RetryBudgetRule,
     plan::{Account, Configuration, Limit, PoolShare, Repeat, Route},
     relay::{Era, Listing, Position, Topic},
 };
@@ -50,7 +50,11 @@
         zone: "north".into(),
         max_configuration_age: FRESHNESS,
         peer_timeout: GONE,
-        retry_budget: Rule { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
+        retry_budget: RetryBudgetRule {
+            retries_per_request: 0.2,
+            extra_retries: 50.0,
+            window: Duration::from_secs(10),
+        },
         tolerance: Tolerance { ratio: 0.1, slack: 1_000.0, window: WINDOW },
         trial_share: 0.1,
     }
