--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -25,7 +25,7 @@
 use crate::rate::{News, Pacer};
 
 use demand::compare_costs;
-pub use demand::{Demand, Slot, Ways};
+pub use demand::{AdmissionModes, Demand, Slot};
 
 use super::{
     event::{Incarnation, Target},
@@ -72,15 +72,15 @@
     /// the rows that they exchange.
     pub agent: Option<SocketAddr>,
     /// Requests of this process that hold a slot at the target.
-    pub own: u32,
+    pub own_requests: u32,
     /// Requests of other processes at the target, by their last rows or the agent's last load report.
-    pub others: u32,
+    pub other_requests: u32,
     /// Prompt tokens of this process's requests at the target whose answers haven't begun.
     own_prefill_tokens: f64,
     /// Prompt tokens of other processes' requests whose answers haven't begun, by their last rows.
     others_prefill_tokens: f64,
     /// Whether the platform still lists the target.
-    pub listed: bool,
+    pub is_listed: bool,
     /// Which requests the target accepts: those for the base version, for the ordered version, or none.
     lane: Lane,
     /// End of the backoff from the target; `None` before the first one.
@@ -109,11 +109,11 @@
 
 /// This process's index among the entry processes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct ProcessIndex {
     /// Index of this process, from 0.
     pub index: u32,
     /// Number of entry processes; at least 1.
-    pub among: u32,
+    pub count: u32,
 }
 
 /// The state of all targets.
@@ -134,11 +134,11 @@
         TargetState {
             agent: target.agent_address,
             target,
-            own: 0,
-            others: 0,
+            own_requests: 0,
+            other_requests: 0,
             own_prefill_tokens: 0.0,
             others_prefill_tokens: 0.0,
-            listed: true,
+            is_listed: true,
             lane: Lane::Base,
             backoff_until: None,
             unreachable_backoff: Duration::ZERO,
@@ -156,37 +156,38 @@
 
     /// Returns the slots that this process may use whatever the other processes do. If the slots can't be
     /// divided evenly, some processes get one more; which ones differs by target.
-    fn guaranteed_slots(&self, place: Place) -> u32 {
+    fn guaranteed_slots(&self, process: ProcessIndex) -> u32 {
         let slots = self.target.slots;
-        slots / place.among + u32::from(self.rotated_index(place) < slots % place.among)
+        slots / process.count + u32::from(self.rotated_index(process) < slots % process.count)
     }
 
     /// Returns the index of a process among those that share the target, rotated by a number that differs by
     /// target.
-    fn rotated_index(&self, place: Place) -> u32 {
+    fn rotated_index(&self, process: ProcessIndex) -> u32 {
         let rotation = self
             .target
             .name
             .bytes()
             .fold(0_u32, |sum, byte| sum.wrapping_mul(31) + u32::from(byte));
-        (place.index + rotation % place.among) % place.among
+        (process.index + rotation % process.count) % process.count
     }
 
     /// Reports whether a request may take a slot: one that no process uses, or one that is guaranteed to this
     /// process. A request of the lowest tier must leave the withheld slots free.
-    fn has_free_slot(&self, place: Place, demand: &Demand<'_>) -> bool {
-        let used = self.own + self.others;
-        if demand.lowest && used + SLOTS_WITHHELD_FROM_LOWEST_TIER >= self.target.slots {
+    fn has_free_slot(&self, process: ProcessIndex, demand: &Demand<'_>) -> bool {
+        let used = self.own_requests + self.other_requests;
+        if demand.is_lowest_tier && used + SLOTS_WITHHELD_FROM_LOWEST_TIER >= self.target.slots {
             return false;
         }
         let free = self.target.slots.saturating_sub(used);
-        free > 0 || (self.own < self.guaranteed_slots(place) && used <= self.target.slots)
+        free > 0
+            || (self.own_requests < self.guaranteed_slots(process) && used <= self.target.slots)
     }
 
     /// Reports whether the target accepts requests: it is listed, ready and not in backoff, and its
     /// version accepts requests.
-    fn is_up(&self, now: Instant) -> bool {
-        let is_open = self.listed && self.target.is_ready && self.lane != Lane::Shut;
+    fn is_available(&self, now: Instant) -> bool {
+        let is_open = self.is_listed && self.target.is_ready && self.lane != Lane::Shut;
         is_open && self.backoff_until.is_none_or(|until| until <= now)
     }
 
@@ -206,7 +207,8 @@
     fn cost(&self, tokens: f64, zone: &str, default_ms_per_token: f64) -> f64 {
         let first_event_ms = self.first_event_ms_per_token.unwrap_or(default_ms_per_token)
             * self.prefill_tokens_ahead(tokens);
-        let utilization = f64::from(self.own + self.others) / f64::from(self.target.slots.max(1));
+        let utilization = f64::from(self.own_requests + self.other_requests)
+            / f64::from(self.target.slots.max(1));
         let zone_cost_ms = if self.target.zone == zone { 0.0 } else { 1.0 };
         (first_event_ms + zone_cost_ms)
             * (1.0 + utilization)
@@ -224,9 +226,10 @@
     /// Reports whether the answer is expected to end before its deadline at this target, or the target is
     /// among the fastest. A target of unknown speed counts as fast.
     fn finishes_in_time(&self, demand: &Demand<'_>, fastest_ms_per_token: f64) -> bool {
-        let left_ms = demand.left.as_secs_f64() * 1_000.0;
-        let finishes =
-            |ms_per_token: f64| ms_per_token * demand.output * ANSWER_LENGTH_MARGIN <= left_ms;
+        let left_ms = demand.time_left.as_secs_f64() * 1_000.0;
+        let finishes = |ms_per_token: f64| {
+            ms_per_token * demand.expected_output_tokens * ANSWER_LENGTH_MARGIN <= left_ms
+        };
         self.is_fast(fastest_ms_per_token) || self.ms_per_token.is_none_or(finishes)
     }
 
@@ -237,14 +240,14 @@
     }
 
     /// Returns the time per token of an answer, in ms, as the target's agent reports it; `None` if unknown.
-    pub fn pace(&self) -> Option<f64> {
+    pub fn ms_per_token(&self) -> Option<f64> {
         self.ms_per_token
     }
 
     /// Takes a slot for a request with a prompt of `tokens` tokens.
     fn occupy(&mut self, tokens: f64, default_ms_per_token: f64) -> Slot {
         let prefill_tokens = self.prefill_tokens_ahead(tokens);
-        self.own += 1;
+        self.own_requests += 1;
         self.own_prefill_tokens += tokens;
         let first_ms =
             self.first_event_ms_per_token.unwrap_or(default_ms_per_token) * prefill_tokens;
@@ -254,8 +257,8 @@
             address: self.target.address,
             pending_prefill_tokens: tokens,
             prefill_tokens,
-            first: Duration::from_secs_f64(first_ms / 1_000.0),
-            ordered: self.lane == Lane::Ordered,
+            expected_first_event: Duration::from_secs_f64(first_ms / 1_000.0),
+            is_ordered_version: self.lane == Lane::Ordered,
         }
     }
 
@@ -271,7 +274,7 @@
     /// are kept only while they have requests of this process. Returns the targets that restarted; their
     /// state is reset, since their requests have ended and their speed and failures were those of another
     /// process.
-    pub fn list(&mut self, targets: Vec<Target>) -> Vec<TargetName> {
+    pub fn replace_targets(&mut self, targets: Vec<Target>) -> Vec<TargetName> {
         let mut restarted = Vec::new();
         let previous = std::mem::take(&mut self.states).into_iter();
         let mut previous: BTreeMap<TargetName, TargetState> =
@@ -281,7 +284,7 @@
                 // A record of an earlier incarnation may reach the platform after that of a later one.
                 Some(state) if state.target.incarnation > target.incarnation => state,
                 Some(state) if state.target.incarnation == target.incarnation => {
-                    TargetState { target, listed: true, ..state }
+                    TargetState { target, is_listed: true, ..state }
                 }
                 Some(_) => {
                     restarted.push(target.name.clone());
@@ -291,9 +294,10 @@
             };
             self.states.push(state);
         }
-        let delisted = previous.into_values().map(|state| TargetState { listed: false, ..state });
+        let delisted =
+            previous.into_values().map(|state| TargetState { is_listed: false, ..state });
         self.states.extend(delisted);
-        self.states.retain(|state| state.listed || state.own > 0);
+        self.states.retain(|state| state.is_listed || state.own_requests > 0);
         self.states.sort_by(|a, b| a.target.name.cmp(&b.target.name));
         self.indexes.clear();
         self.pools.clear();
@@ -311,35 +315,38 @@
     }
 
     /// Returns the targets that the platform lists now.
-    pub fn listed(&self) -> impl Iterator<Item = &Target> {
-        self.states.iter().filter(|state| state.listed).map(|state| &state.target)
+    pub fn listed_targets(&self) -> impl Iterator<Item = &Target> {
+        self.states.iter().filter(|state| state.is_listed).map(|state| &state.target)
     }
 
     /// Returns the number of unused slots and of all slots at the targets of a pool that accept requests.
-    pub fn slots(&self, now: Instant, pool: &str) -> (u32, u32) {
-        self.pool_targets(pool).filter(|state| state.is_up(now)).fold(
+    pub fn free_and_total_slots(&self, now: Instant, pool: &str) -> (u32, u32) {
+        self.pool_targets(pool).filter(|state| state.is_available(now)).fold(
             (0, 0),
             |(free, all), state| {
                 let slots = state.target.slots;
-                (free + slots.saturating_sub(state.own + state.others), all + slots)
+                (
+                    free + slots.saturating_sub(state.own_requests + state.other_requests),
+                    all + slots,
+                )
             },
         )
     }
 
     /// Replaces the load of other processes at targets that aren't reached by an agent.
-    pub fn count_others<'a>(
+    pub fn replace_other_load<'a>(
         &mut self,
         now: Instant,
         running: impl Iterator<Item = &'a TargetLoad>,
     ) {
         for state in self.states.iter_mut().filter(|state| !state.uses_agent(now)) {
-            state.others = 0;
+            state.other_requests = 0;
             state.others_prefill_tokens = 0.0;
         }
         for load in running {
             let state = self.state_mut(&load.target, load.incarnation);
             if let Some(state) = state.filter(|state| !state.uses_agent(now)) {
-                state.others += load.requests;
+                state.other_requests += load.requests;
                 state.others_prefill_tokens += f64::from(load.pending_prompt_tokens);
             }
         }
@@ -347,12 +354,12 @@
 
     /// Returns the load of this process at targets that aren't reached by an agent, to be sent to the other
     /// entry processes.
-    pub fn running(&self, now: Instant) -> Vec<TargetLoad> {
-        let is_shared = |state: &TargetState| state.own > 0 && !state.uses_agent(now);
+    pub fn own_load(&self, now: Instant) -> Vec<TargetLoad> {
+        let is_shared = |state: &TargetState| state.own_requests > 0 && !state.uses_agent(now);
         let load = self.states.iter().filter(|state| is_shared(state)).map(|state| TargetLoad {
             target: state.target.name.clone(),
             incarnation: state.target.incarnation,
-            requests: state.own,
+            requests: state.own_requests,
             pending_prompt_tokens: state.own_prefill_tokens as u32,
         });
         load.collect()
@@ -360,21 +367,27 @@
 
     /// Takes a slot for a request at the target with the lowest cost, without asking an agent. Returns `None`
     /// if no target that is reached without an agent has a free slot.
-    pub fn take(&mut self, now: Instant, place: Place, demand: &Demand<'_>) -> Option<Slot> {
+    pub fn take_slot(
+        &mut self,
+        now: Instant,
+        process: ProcessIndex,
+        demand: &Demand<'_>,
+    ) -> Option<Slot> {
         let default_ms_per_token = self.mean_first_event_ms_per_token(demand.pool);
         let candidates = self.pool_targets(demand.pool).filter(|state| {
             state.lane == demand.lane
-                && state.is_up(now)
+                && state.is_available(now)
                 && !state.uses_agent(now)
-                && state.has_free_slot(place, demand)
-                && state.limit_allows(now, place)
+                && state.has_free_slot(process, demand)
+                && state.limit_allows(now, process)
                 && !state.has_prefill_backlog(default_ms_per_token)
         });
-        let candidates = candidates.filter(|state| !demand.tried.contains(&state.target.name));
+        let candidates =
+            candidates.filter(|state| !demand.possibly_ran_at.contains(&state.target.name));
         let cost = |state: &TargetState| {
             (
                 demand.was_rejected_by(state),
-                state.cost(demand.tokens, demand.zone, default_ms_per_token),
+                state.cost(demand.prompt_tokens, demand.zone, default_ms_per_token),
             )
         };
         let best = candidates.min_by(|a, b| compare_costs(cost(a), cost(b)))?;
@@ -383,15 +396,18 @@
         if let Some(pacer) = &mut state.pacer {
             pacer.take(now);
         }
-        Some(state.occupy(demand.tokens, default_ms_per_token))
+        Some(state.occupy(demand.prompt_tokens, default_ms_per_token))
     }
 
     /// Sets the lane of each listed target. `lanes` returns the lanes of a pool's targets in the order of the
     /// given versions, each of which comes with whether the target is ready.
-    pub fn assign(&mut self, mut lanes: impl FnMut(&PoolName, &[(&Version, bool)]) -> Vec<Lane>) {
+    pub fn assign_lanes(
+        &mut self,
+        mut lanes: impl FnMut(&PoolName, &[(&Version, bool)]) -> Vec<Lane>,
+    ) {
         for (pool, indexes) in &self.pools {
             let states = indexes.iter().filter_map(|&index| Some((index, self.states.get(index)?)));
-            let listed: Vec<_> = states.filter(|(_, state)| state.listed).collect();
+            let listed: Vec<_> = states.filter(|(_, state)| state.is_listed).collect();
             let targets: Vec<(&Version, bool)> = listed
                 .iter()
                 .map(|(_, state)| (&state.target.version, state.target.is_ready))
@@ -405,36 +421,37 @@
     }
 
     /// Returns the number of ready targets whose version accepts no requests.
-    pub fn shut(&self) -> usize {
+    pub fn closed_count(&self) -> usize {
         let is_shut = |state: &&TargetState| state.target.is_ready && state.lane == Lane::Shut;
         self.states.iter().filter(is_shut).count()
     }
 
     /// Returns the number of this process's requests at targets of a pool that have another version.
-    pub fn running_besides(&self, pool: &str, version: &Version) -> u32 {
+    pub fn running_on_other_versions(&self, pool: &str, version: &Version) -> u32 {
         let others = self.pool_targets(pool).filter(|state| state.target.version != *version);
-        others.map(|state| state.own).sum()
+        others.map(|state| state.own_requests).sum()
     }
 
     /// Returns whether targets of a pool are reached by agents, by rows, or both.
-    pub fn ways(&self, now: Instant, pool: &str) -> Ways {
-        self.pool_targets(pool).fold(Ways::default(), |ways, state| Ways {
-            agents: ways.agents || state.agent.is_some(),
-            rows: ways.rows || (state.is_up(now) && !state.uses_agent(now)),
+    pub fn admission_modes(&self, now: Instant, pool: &str) -> AdmissionModes {
+        self.pool_targets(pool).fold(AdmissionModes::default(), |modes, state| AdmissionModes {
+            has_agents: modes.has_agents || state.agent.is_some(),
+            has_shared_slots: modes.has_shared_slots
+                || (state.is_available(now) && !state.uses_agent(now)),
         })
     }
 
     /// Reports whether the target of a slot still accepts requests and hasn't restarted.
-    pub fn is_open(&self, now: Instant, slot: &Slot) -> bool {
+    pub fn is_slot_usable(&self, now: Instant, slot: &Slot) -> bool {
         let state = self.state(&slot.target);
         let state = state.filter(|state| state.target.incarnation == slot.incarnation);
-        state.is_some_and(|state| state.is_up(now))
+        state.is_some_and(|state| state.is_available(now))
     }
 
     /// Releases a slot. Does nothing if the target has restarted since.
-    pub fn release(&mut self, slot: &Slot) {
+    pub fn release_slot(&mut self, slot: &Slot) {
         if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
-            state.own = state.own.saturating_sub(1);
+            state.own_requests = state.own_requests.saturating_sub(1);
             state.own_prefill_tokens =
                 (state.own_prefill_tokens - slot.pending_prefill_tokens).max(0.0);
         }
@@ -442,7 +459,7 @@
 
     /// Records the time to the first event of an answer: the prompt has been read, and the target is
     /// reachable.
-    pub fn learn(&mut self, slot: &mut Slot, first: Duration) {
+    pub fn record_first_event(&mut self, slot: &mut Slot, first: Duration) {
         let Some(state) = self.state_mut(&slot.target, slot.incarnation) else {
             return;
         };
@@ -459,7 +476,7 @@
     }
 
     /// Records in a target's failure rate whether a request failed there.
-    pub fn judge(&mut self, slot: &Slot, failed: bool) {
+    pub fn record_outcome(&mut self, slot: &Slot, failed: bool) {
         if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
             let observed = if failed { 1.0 } else { 0.0 };
             state.failure_rate += EWMA_WEIGHT * (observed - state.failure_rate);
@@ -467,7 +484,12 @@
     }
 
     /// Starts or doubles the backoff from a target that accepts no connection or is unresponsive.
-    pub fn mark_down(&mut self, now: Instant, name: &TargetName, incarnation: Incarnation) {
+    pub fn back_off_unreachable(
+        &mut self,
+        now: Instant,
+        name: &TargetName,
+        incarnation: Incarnation,
+    ) {
         if let Some(state) = self.state_mut(name, incarnation) {
             state.unreachable_backoff = (state.unreachable_backoff * 2)
                 .clamp(MIN_UNREACHABLE_BACKOFF, MAX_UNREACHABLE_BACKOFF);
@@ -476,14 +498,14 @@
     }
 
     /// Starts a short backoff from a target that rejected a request.
-    pub fn mark_full(&mut self, now: Instant, slot: &Slot) {
+    pub fn back_off_rejecting(&mut self, now: Instant, slot: &Slot) {
         if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
             state.back_off(now, REJECTION_BACKOFF);
         }
     }
 
     /// Sends no more requests to a target whose address belongs to another target now.
-    pub fn mark_gone(&mut self, slot: &Slot) {
+    pub fn mark_replaced(&mut self, slot: &Slot) {
         if let Some(state) = self.state_mut(&slot.target, slot.incarnation) {
             state.target.is_ready = false;
         }
@@ -491,7 +513,7 @@
 
     /// Returns the next time at which a backoff ends or a rate limit allows a request; `None` if there is
     /// none.
-    pub fn next_up(&self, now: Instant) -> Option<Instant> {
+    pub fn next_available(&self, now: Instant) -> Option<Instant> {
         let paced_at = |state: &TargetState| state.pacer.map(|pacer| pacer.next());
         let times = self
             .states
@@ -521,7 +543,8 @@
     /// as their number grows.
     fn fastest_ms_per_token(&self, now: Instant, demand: &Demand<'_>) -> f64 {
         let candidates = self.pool_targets(demand.pool);
-        let candidates = candidates.filter(|state| state.lane == demand.lane && state.is_up(now));
+        let candidates =
+            candidates.filter(|state| state.lane == demand.lane && state.is_available(now));
         let mut ms_per_token: Vec<f64> =
             candidates.filter_map(|state| state.ms_per_token).collect();
         let index = (ms_per_token.len() as f64 * FASTEST_QUANTILE) as usize;
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -44,9 +44,10 @@
             f64::from(load.running + load.waiting)
                 * 0.5_f64.powf(age / AGENT_LOAD_HALF_LIFE.as_secs_f64())
         });
-        let utilization = reported.max(f64::from(self.own)) / f64::from(self.target.slots.max(1));
-        let cost =
-            self.cost(demand.tokens, demand.zone, default_ms_per_token) * (1.0 + utilization);
+        let utilization =
+            reported.max(f64::from(self.own_requests)) / f64::from(self.target.slots.max(1));
+        let cost = self.cost(demand.prompt_tokens, demand.zone, default_ms_per_token)
+            * (1.0 + utilization);
         cost * (1.0 + COST_JITTER_RATIO * self.hash_fraction(demand)) + self.limit_wait_ms(now)
     }
 
@@ -72,8 +73,8 @@
     fn weighted_draw(&self, now: Instant, demand: &Demand<'_>, default_ms_per_token: f64) -> f64 {
         let zone_factor =
             if self.target.zone == *demand.zone { 1.0 } else { REMOTE_ZONE_COST_FACTOR };
-        let cost =
-            self.cost(demand.tokens, demand.zone, default_ms_per_token) + self.limit_wait_ms(now);
+        let cost = self.cost(demand.prompt_tokens, demand.zone, default_ms_per_token)
+            + self.limit_wait_ms(now);
         -self.hash_fraction(demand).ln() * zone_factor * cost
     }
 }
@@ -92,7 +93,7 @@
 impl Capacity {
     /// Sets the number of other entry processes that may share the targets. It includes all discovered
     /// processes, also those from which no row has been received yet or lately.
-    pub fn share(&mut self, others: usize) {
+    pub fn set_other_processes(&mut self, others: usize) {
         if std::mem::replace(&mut self.other_processes, others) != others {
             self.assign_agents();
         }
@@ -133,13 +134,15 @@
     ) -> Option<&TargetState> {
         let default_ms_per_token = self.mean_first_event_ms_per_token(demand.pool);
         let candidates = self.pool_targets(demand.pool);
-        let candidates = candidates
-            .filter(|state| state.lane == demand.lane && state.is_up(now) && state.uses_agent(now));
+        let candidates = candidates.filter(|state| {
+            state.lane == demand.lane && state.is_available(now) && state.uses_agent(now)
+        });
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = candidates.filter(|state| state.finishes_in_time(demand, fastest));
         let unreserved = candidates.filter(|state| {
             let name = &state.target.name;
-            !demand.tried.contains(name) && reserved.iter().all(|known| known.target != *name)
+            !demand.possibly_ran_at.contains(name)
+                && reserved.iter().all(|known| known.target != *name)
         });
         let costs = unreserved.map(|state| {
             let cost = if reserved.is_empty() {
@@ -154,10 +157,11 @@
     }
 
     /// Counts the targets where a request's answer is expected to end in time.
-    pub fn fits(&self, now: Instant, demand: &Demand<'_>) -> FittingTargets {
+    pub fn count_fitting(&self, now: Instant, demand: &Demand<'_>) -> FittingTargets {
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = self.pool_targets(demand.pool);
-        let candidates = candidates.filter(|state| state.lane == demand.lane && state.is_up(now));
+        let candidates =
+            candidates.filter(|state| state.lane == demand.lane && state.is_available(now));
         let none = FittingTargets {
             fastest_token_ms: Some(fastest).filter(|ms_per_token| ms_per_token.is_finite()),
             ..FittingTargets::default()
@@ -176,7 +180,7 @@
         let state = self.state(&reserved.target);
         let state = state.filter(|state| state.target.incarnation == reserved.incarnation);
         state.is_some_and(|state| {
-            let is_usable = state.is_up(now) && state.uses_agent(now);
+            let is_usable = state.is_available(now) && state.uses_agent(now);
             // A new reservation informs an agent of a limit that has been set or lifted since.
             is_usable
                 && state.agent == Some(reserved.agent)
@@ -197,15 +201,15 @@
             self.fastest_ms_per_token(now, demand),
         );
         let state = self.state_mut(&reserved.target, reserved.incarnation)?;
-        let fits = state.is_up(now) && state.finishes_in_time(demand, fastest);
-        fits.then(|| state.occupy(demand.tokens, default_ms_per_token))
+        let fits = state.is_available(now) && state.finishes_in_time(demand, fastest);
+        fits.then(|| state.occupy(demand.prompt_tokens, default_ms_per_token))
     }
 
     /// Records the load that an agent reported with the grant of a reservation.
     pub fn record_agent_load(&mut self, now: Instant, reserved: &QueuedReservation, load: Load) {
         if let Some(state) = self.state_mut(&reserved.target, reserved.incarnation) {
             // The reported load includes the request that was just granted, hence the 1.
-            state.others = load.running.saturating_sub(state.own + 1);
+            state.other_requests = load.running.saturating_sub(state.own_requests + 1);
             state.last_load = Some((now, load));
             state.ms_per_token = load.step.map(|step| step.as_secs_f64() * 1_000.0);
             state.agent_backoff = Duration::ZERO;
@@ -225,14 +229,14 @@
             state.agent_backoff =
                 (state.agent_backoff * 2).clamp(MIN_AGENT_BACKOFF, MAX_AGENT_BACKOFF);
             state.agent_backoff_until = Some(now + state.agent_backoff);
-            state.others = 0;
+            state.other_requests = 0;
         }
     }
 
     /// Starts or doubles the backoff from a target that its agent can't reach.
     pub fn mark_unreachable_by_agent(&mut self, now: Instant, reserved: &QueuedReservation) {
         if self.is_reservation_valid(now, reserved) {
-            self.mark_down(now, &reserved.target, reserved.incarnation);
+            self.back_off_unreachable(now, &reserved.target, reserved.incarnation);
         }
     }
 }
--- a/components/scheduler/src/direct/capacity/demand.rs
+++ b/components/scheduler/src/direct/capacity/demand.rs
@@ -21,14 +21,14 @@
     /// before the first event when the slot was taken.
     pub(super) prefill_tokens: f64,
     /// Expected time from dispatch to the first event of the answer.
-    pub first: Duration,
+    pub expected_first_event: Duration,
     /// Whether the target runs the version of a rollout in progress.
-    pub ordered: bool,
+    pub is_ordered_version: bool,
 }
 
 impl Slot {
     /// Returns the time to the first event divided by the prompt tokens read before it.
-    pub fn each_token(&self, first: Duration) -> Duration {
+    pub fn first_event_per_token(&self, first: Duration) -> Duration {
         first.div_f64(self.prefill_tokens.max(1.0))
     }
 }
@@ -43,26 +43,26 @@
     /// Random number of the request, uniformly distributed over requests.
     pub spread: u64,
     /// Prompt tokens of the request; 0 if unknown.
-    pub tokens: f64,
+    pub prompt_tokens: f64,
     /// Expected tokens of the answer; 0 if unknown.
-    pub output: f64,
+    pub expected_output_tokens: f64,
     /// Time until the deadline of the answer.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Targets that may have run the request; it isn't sent to them again.
-    pub tried: &'a [TargetName],
+    pub possibly_ran_at: &'a [TargetName],
     /// Targets that rejected the request; any other target is preferred.
-    pub rejected: &'a [TargetName],
+    pub rejected_by: &'a [TargetName],
     /// Lane of the targets that the request may go to.
     pub lane: Lane,
     /// Whether the request belongs to the pool's lowest tier and that tier holds its slots the longest, so
     /// that a part of each target's slots isn't available to the request.
-    pub lowest: bool,
+    pub is_lowest_tier: bool,
 }
 
 impl Demand<'_> {
     /// Reports whether the target has rejected the request.
     pub(super) fn was_rejected_by(&self, state: &TargetState) -> bool {
-        self.rejected.contains(&state.target.name)
+        self.rejected_by.contains(&state.target.name)
     }
 }
 
@@ -74,9 +74,9 @@
 
 /// How requests reach the targets of a pool; both may hold.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Ways {
+pub struct AdmissionModes {
     /// Whether any target has an agent, reachable or not.
-    pub agents: bool,
+    pub has_agents: bool,
     /// Whether any target accepts requests without an agent, by the rows that entry processes exchange.
-    pub rows: bool,
+    pub has_shared_slots: bool,
 }
--- a/components/scheduler/src/direct/capacity/limits.rs
+++ b/components/scheduler/src/direct/capacity/limits.rs
@@ -10,7 +10,7 @@
 
 use crate::rate::{self, News, Pacer};
 
-use super::{super::event::Incarnation, Capacity, Place, Slot, TargetState};
+use super::{super::event::Incarnation, Capacity, ProcessIndex, Slot, TargetState};
 
 /// Factor on the interval between requests that are sent without the target's agent, which leaves them half
 /// of the limit. Other processes may still reach the agent, which then grants the whole limit.
@@ -22,7 +22,7 @@
 impl TargetState {
     /// Returns the target's rate limit in requests per second and the age of that information; `None` if
     /// the target isn't limited.
-    pub fn limit(&self, now: Instant) -> Option<(f64, Duration)> {
+    pub fn limit_per_second(&self, now: Instant) -> Option<(f64, Duration)> {
         let News { interval, at } = self.limit?;
         Some((rate::per_second(interval?), now.saturating_duration_since(at)))
     }
@@ -45,13 +45,13 @@
     }
 
     /// Reports whether the target's limit allows this process to send a request now without an agent's grant.
-    pub(super) fn limit_allows(&self, now: Instant, place: Place) -> bool {
+    pub(super) fn limit_allows(&self, now: Instant, process: ProcessIndex) -> bool {
         let (Some(pacer), Some(news)) = (self.pacer, self.limit) else {
             return true;
         };
         let turns = now.saturating_duration_since(news.at).as_secs() / TURN_DURATION.as_secs();
-        let rotated = u64::from(self.rotated_index(place)) + turns;
-        rotated.is_multiple_of(u64::from(place.among)) && pacer.next() <= now
+        let rotated = u64::from(self.rotated_index(process)) + turns;
+        rotated.is_multiple_of(u64::from(process.count)) && pacer.next() <= now
     }
 
     /// Returns the estimated time, in ms, until the agent admits a request; 0 if the target isn't limited.
@@ -129,12 +129,12 @@
     }
 
     /// Returns the newest information on the limit of each target that ever named one.
-    pub fn limits(&self, now: Instant) -> impl Iterator<Item = (&TargetState, Limit)> {
+    pub fn limit_reports(&self, now: Instant) -> impl Iterator<Item = (&TargetState, Limit)> {
         self.states.iter().filter_map(move |state| Some((state, state.limit_report(now)?)))
     }
 
     /// Returns the number of targets that are rate-limited.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.states.iter().filter(|state| state.is_limited()).count()
     }
 }
--- a/components/scheduler/src/direct/era.rs
+++ b/components/scheduler/src/direct/era.rs
@@ -65,7 +65,7 @@
         let listed: BTreeSet<&str> =
             self.target_list.targets.iter().map(|target| target.name.as_str()).collect();
         let departed =
-            self.capacity.listed().filter(|target| !listed.contains(target.name.as_str()));
+            self.capacity.listed_targets().filter(|target| !listed.contains(target.name.as_str()));
         let departed = departed.map(|target| (target.name.clone(), (target.incarnation, now)));
         self.departed.extend(departed.collect::<Vec<_>>());
         self.departed.retain(|_, (_, at)| now.duration_since(*at) < LISTING_EXPIRY * 2);
--- a/components/scheduler/src/direct/holds.rs
+++ b/components/scheduler/src/direct/holds.rs
@@ -9,14 +9,14 @@
 
 /// Mean times for which requests hold their slots, by pool and tier.
 #[derive(Clone, Debug, Default)]
-pub struct Holds {
+pub struct SlotTimes {
     /// Moving averages, in seconds, by pool and rank of the tier.
     means: BTreeMap<PoolName, BTreeMap<u32, f64>>,
 }
 
-impl Holds {
+impl SlotTimes {
     /// Records the time for which a request held its slot until its whole answer was sent.
-    pub fn learn(&mut self, pool: &PoolName, rank: u32, held: Duration) {
+    pub fn record(&mut self, pool: &PoolName, rank: u32, held: Duration) {
         let observed = held.as_secs_f64();
         let mean = self.means.entry(pool.clone()).or_default().entry(rank).or_insert(observed);
         *mean += EWMA_WEIGHT * (observed - *mean);
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -131,7 +131,7 @@
     fn limit(&self, account: &AccountName) -> Option<(plan::Limit, LimitShare)> {
         let limit = self.configuration.as_ref()?.accounts.get(account)?.limit?;
         let share = LimitShare {
-            processes: self.process_index.among,
+            processes: self.process_index.count,
             known: self.current_processes,
             usable: self.usable_parts,
             tolerance: self.settings.tolerance,
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -45,14 +45,14 @@
 
 use allowance::Allowance;
 use budget::RetryBudget;
-use capacity::{Capacity, Place, TargetState};
+use capacity::{Capacity, ProcessIndex, TargetState};
 use crashes::CrashCounts;
 pub use event::{
     DenialReason, Dispatch, Effect, Event, FittingTargets, Incarnation, LimitShortage, LogEntry,
     Now, Outcome, Refusal, RefusalContext, RefusalReason, Registration, Request, Reservation,
     Target, Ticket, Tokens,
 };
-use holds::Holds;
+use holds::SlotTimes;
 use peers::{AccountUsage, Peers, Row, TargetLimit};
 use pending::{PendingRequest, QueueKey, Stage};
 use plan::Configuration;
@@ -196,11 +196,11 @@
     /// Retry budgets by pool.
     budgets: BTreeMap<PoolName, RetryBudget>,
     /// Mean times for which requests hold their slots, by pool and tier.
-    holds: Holds,
+    slot_times: SlotTimes,
     rollouts: Rollouts,
     peers: Peers,
     /// Index of this process among the entry processes that may take requests, and their number.
-    process_index: Place,
+    process_index: ProcessIndex,
     /// Number of entry processes, this one included, whose rows are current.
     current_processes: u32,
     /// Number of entry processes, this one included, whose parts of limits this one may use.
@@ -304,10 +304,10 @@
         timers: BTreeSet::new(),
         accounts: BTreeMap::new(),
         budgets: BTreeMap::new(),
-        holds: Holds::default(),
+        slot_times: SlotTimes::default(),
         rollouts: Rollouts::default(),
         peers: Peers::default(),
-        process_index: Place { index: 0, among: 1 },
+        process_index: ProcessIndex { index: 0, count: 1 },
         current_processes: 1,
         usable_parts: 1,
         sequence: 0,
@@ -404,7 +404,7 @@
 pub fn next_wake(state: &State, now: Instant) -> Option<Instant> {
     let next_timer = state.timers.first().map(|&(at, _)| at);
     let has_waiting = state.waiting.values().any(|queue| !queue.is_empty());
-    let next_up = if has_waiting { state.capacity.next_up(now) } else { None };
+    let next_up = if has_waiting { state.capacity.next_available(now) } else { None };
     let next_reservation = state.reserve_at.first().copied();
     next_timer.into_iter().chain(next_up).chain(state.next_grant).chain(next_reservation).min()
 }
@@ -412,7 +412,7 @@
 impl State {
     /// Returns the number of targets that state a rate limit.
     pub fn limited_targets(&self) -> usize {
-        self.capacity.limited()
+        self.capacity.limited_count()
     }
 
     /// Returns whether a load balancer should send requests to this process.
@@ -439,9 +439,9 @@
             id: &pending.request.id,
             route: &pending.route,
             waited: now.saturating_duration_since(pending.arrived),
-            running: state.map_or(0, |state| state.own),
-            running_of_others: state.map_or(0, |state| state.others),
-            limit: state.and_then(|state| state.limit(now)),
+            running: state.map_or(0, |state| state.own_requests),
+            running_of_others: state.map_or(0, |state| state.other_requests),
+            limit: state.and_then(|state| state.limit_per_second(now)),
             configuration_version: self
                 .configuration
                 .as_ref()
@@ -451,7 +451,7 @@
             expected_tokens: pending.request.expected_tokens,
             account: pending.account.as_deref(),
             tier: pending.tier,
-            token_ms: state.and_then(|state| state.pace()),
+            token_ms: state.and_then(|state| state.ms_per_token()),
             running_for: now.saturating_duration_since(in_flight.dispatched_at),
             time_to_first_event: in_flight.time_to_first_event,
             timeout: pending.deadline.saturating_duration_since(pending.arrived),
@@ -466,7 +466,7 @@
             return RefusalContext::default();
         };
         let queue = self.waiting.get(&pending.pool);
-        let (free, slots) = self.capacity.slots(now, &pending.pool);
+        let (free, slots) = self.capacity.free_and_total_slots(now, &pending.pool);
         let demand = pending.demand(now, &pending.pool, &self.settings.zone, (&[], &[]));
         RefusalContext {
             route: pending.route.clone(),
@@ -475,7 +475,7 @@
             expected_tokens: pending.request.expected_tokens,
             waited: now.saturating_duration_since(pending.arrived),
             max_wait: pending.wait_deadline.saturating_duration_since(pending.arrived),
-            fits: self.capacity.fits(now, &demand),
+            fits: self.capacity.count_fitting(now, &demand),
             time_left: pending.deadline.saturating_duration_since(now),
             has_begun: pending.has_begun,
             attempts: (pending.possibly_ran_at.len(), pending.max_attempts),
@@ -527,8 +527,8 @@
             current_peers: self.peers.current_addresses(now),
             uptime: now.saturating_duration_since(self.started),
             account_usages: self.accounts.iter().map(account_usage).collect(),
-            target_loads: self.capacity.running(now),
-            target_limits: self.capacity.limits(now).map(target_limit).collect(),
+            target_loads: self.capacity.own_load(now),
+            target_limits: self.capacity.limit_reports(now).map(target_limit).collect(),
             rollouts: self.shares(now),
         }
     }
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -224,25 +224,25 @@
     }
 
     /// Returns what the request requires of a target: one that runs the established version, with no slots
-    /// left to other tiers. Callers overwrite `lane` and `lowest` where that differs.
+    /// left to other tiers. Callers overwrite `lane` and `is_lowest_tier` where that differs.
     pub fn demand<'a>(
         &self,
         now: Instant,
         pool: &'a PoolName,
         zone: &'a ZoneName,
-        (tried, rejected): (&'a [TargetName], &'a [TargetName]),
+        (possibly_ran_at, rejected_by): (&'a [TargetName], &'a [TargetName]),
     ) -> Demand<'a> {
         Demand {
             pool,
             zone,
             spread: self.request.spread,
-            tokens: self.prompt_tokens(),
-            output: self.request.expected_tokens.map_or(0.0, f64::from),
-            left: self.deadline.saturating_duration_since(now),
-            tried,
-            rejected,
+            prompt_tokens: self.prompt_tokens(),
+            expected_output_tokens: self.request.expected_tokens.map_or(0.0, f64::from),
+            time_left: self.deadline.saturating_duration_since(now),
+            possibly_ran_at,
+            rejected_by,
             lane: Lane::Base,
-            lowest: false,
+            is_lowest_tier: false,
         }
     }
 
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -105,17 +105,17 @@
         // Drops the times that have passed; requests that still wait add new ones below.
         self.reserve_at = self.reserve_at.split_off(&now.steady);
         let (rule, processes, started) =
-            (self.settings.retry_budget, self.process_index.among, self.started);
+            (self.settings.retry_budget, self.process_index.count, self.started);
         let is_in_minority = self.rollouts.any_active() && self.is_in_minority(now.steady);
         for (pool, queue) in &mut self.waiting {
             if queue.is_empty() {
                 continue;
             }
-            let ways = self.capacity.ways(now.steady, pool);
+            let modes = self.capacity.admission_modes(now.steady, pool);
             let mut dequeued = Vec::new();
             // Whether a request for the established version may still find a slot at a target without an
             // agent, and whether one of the lowest tier may, which leaves slots to other tiers.
-            let (mut has_room, mut has_room_for_lowest) = (ways.rows, true);
+            let (mut has_room, mut has_room_for_lowest) = (modes.has_shared_slots, true);
             for key in queue.iter() {
                 let Some(pending) = self.requests.get_mut(&key.ticket) else {
                     dequeued.push(*key);
@@ -131,7 +131,7 @@
                 }
                 // The lowest tier leaves slots to the others where its requests hold theirs for longest.
                 let is_lowest = self.lowest_tiers.get(pool) == Some(&pending.tier)
-                    && self.holds.is_longest(pool, pending.tier);
+                    && self.slot_times.is_longest(pool, pending.tier);
                 // Uniform from 0 up to but excluding 1.
                 let spread = (pending.request.spread >> 12) as f64 / (1_u64 << 52) as f64;
                 let is_selected = *pending.is_selected_for_rollout.get_or_insert_with(|| {
@@ -140,16 +140,22 @@
                     self.rollouts.choose(now.steady, pool_route, spread, max_share, is_in_minority)
                 });
                 let lane = self.rollouts.lane(now.steady, pool, is_selected);
-                let (tried, rejected) =
+                let (possibly_ran_at, rejected_by) =
                     (pending.possibly_ran_at.clone(), pending.rejected_by.clone());
                 let demand = Demand {
                     lane,
-                    lowest: is_lowest,
-                    ..pending.demand(now.steady, pool, &self.settings.zone, (&tried, &rejected))
+                    is_lowest_tier: is_lowest,
+                    ..pending.demand(
+                        now.steady,
+                        pool,
+                        &self.settings.zone,
+                        (&possibly_ran_at, &rejected_by),
+                    )
                 };
                 let may_fit = has_room || lane == Lane::Ordered;
                 if may_fit && (!is_lowest || has_room_for_lowest) {
-                    if let Some(slot) = self.capacity.take(now.steady, self.process_index, &demand)
+                    if let Some(slot) =
+                        self.capacity.take_slot(now.steady, self.process_index, &demand)
                     {
                         dequeued.push(*key);
                         self.timers.remove(&(pending.next_timer(), key.ticket));
@@ -170,7 +176,7 @@
                     }
                 }
                 // This also withdraws reservations at targets that no longer take requests.
-                if ways.agents || !pending.reservations.is_empty() {
+                if modes.has_agents || !pending.reservations.is_empty() {
                     let next = reserve::update_reservations(
                         &mut self.capacity,
                         now.steady,
@@ -221,9 +227,9 @@
     pending.charge = RetryCharge::Nothing;
     // The selection for a rollout is used up: any retry goes to the established version.
     pending.deselect_from_rollout(rollouts);
-    rollouts.dispatched(&pending.pool, &pending.route, slot.ordered);
+    rollouts.dispatched(&pending.pool, &pending.route, slot.is_ordered_version);
     let unresponsive_timeout =
-        UNRESPONSIVE_TIMEOUT_MIN.max(slot.first * UNRESPONSIVE_TIMEOUT_FACTOR);
+        UNRESPONSIVE_TIMEOUT_MIN.max(slot.expected_first_event * UNRESPONSIVE_TIMEOUT_FACTOR);
     let dispatch = Dispatch {
         ticket: pending.request.ticket,
         target: slot.target.clone(),
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -95,7 +95,7 @@
         let (slots, limit) = (state.admission_slots(), state.limit_report(now));
         // Of the requests of a tier, those that fit the fewest targets go first: the others can be served by
         // other targets.
-        let closed_ratio = capacity.fits(now, demand).unfitting_share();
+        let closed_ratio = capacity.count_fitting(now, demand).unfitting_share();
         let boost = (pending.promote_at - pending.arrived).mul_f64(MAX_BOOST_RATIO * closed_ratio);
         pending.reservation_count += 1;
         let number = pending.reservation_count;
@@ -201,7 +201,7 @@
         in_flight: &InFlight,
         effects: &mut Vec<Effect>,
     ) {
-        self.capacity.release(&in_flight.slot);
+        self.capacity.release_slot(&in_flight.slot);
         let number = in_flight.reservation;
         effects.extend(number.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
@@ -213,7 +213,7 @@
         held: &HeldSlot,
         effects: &mut Vec<Effect>,
     ) {
-        self.capacity.release(&held.slot);
+        self.capacity.release_slot(&held.slot);
         effects
             .extend(held.reservation.map(|number| Effect::WithdrawReservation { ticket, number }));
     }
--- a/components/scheduler/src/direct/seek.rs
+++ b/components/scheduler/src/direct/seek.rs
@@ -27,7 +27,7 @@
         if !may_retry || self.is_quarantined(&fingerprint) {
             return;
         }
-        self.capacity.mark_down(now, &slot.target, slot.incarnation);
+        self.capacity.back_off_unreachable(now, &slot.target, slot.incarnation);
         if let Some(pending) = self.requests.get_mut(&ticket)
             && let Stage::InFlight(in_flight) =
                 std::mem::replace(&mut pending.stage, Stage::WaitingForSlot)
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -39,7 +39,7 @@
         let time_to_first_event = now.saturating_duration_since(in_flight.dispatched_at);
         in_flight.time_to_first_event = Some(time_to_first_event);
         let InFlight { mut slot, dispatched_at, has_rate_limit, .. } = in_flight.clone();
-        self.capacity.learn(&mut slot, time_to_first_event);
+        self.capacity.record_first_event(&mut slot, time_to_first_event);
         if !has_rate_limit {
             self.handle_no_rate_limit(now, &slot, dispatched_at, effects);
         }
@@ -84,7 +84,7 @@
         let (pool, tier) = (pending.pool.clone(), pending.tier);
         if outcome == Outcome::Completed {
             let hold_time = now.steady.saturating_duration_since(in_flight.dispatched_at);
-            self.holds.learn(&pool, tier, hold_time);
+            self.slot_times.record(&pool, tier, hold_time);
         }
         self.record_version_result(now.steady, ticket, &in_flight, (outcome, events));
         self.release_dispatch(ticket, &in_flight, effects);
@@ -116,7 +116,11 @@
             Outcome::Unreachable => self.requeue_unexecuted(now, ticket, false, effects),
             _ => {
                 if outcome == Outcome::Unresponsive {
-                    self.capacity.mark_down(now.steady, &target, in_flight.slot.incarnation);
+                    self.capacity.back_off_unreachable(
+                        now.steady,
+                        &target,
+                        in_flight.slot.incarnation,
+                    );
                 }
                 self.retry_executed(now, ticket, target, effects);
             }
@@ -140,7 +144,7 @@
                 | Outcome::Unresponsive
         );
         if is_failure || outcome == Outcome::Completed {
-            self.capacity.judge(slot, is_failure);
+            self.capacity.record_outcome(slot, is_failure);
         }
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
@@ -148,11 +152,11 @@
         match outcome {
             Outcome::Rejected => {
                 pending.rejected_by.push(slot.target.clone());
-                self.capacity.mark_full(now, slot);
+                self.capacity.back_off_rejecting(now, slot);
             }
-            Outcome::Replaced => self.capacity.mark_gone(slot),
+            Outcome::Replaced => self.capacity.mark_replaced(slot),
             Outcome::Unreachable => {
-                self.capacity.mark_down(now, &slot.target, slot.incarnation);
+                self.capacity.back_off_unreachable(now, &slot.target, slot.incarnation);
                 self.count_crashes(now, &slot.target, false, effects);
             }
             Outcome::Incomplete { crashed: true } => {
@@ -198,7 +202,9 @@
         let allowed = allowed && !self.is_quarantined(&body);
         // The other target may have stopped taking requests since the slot was taken.
         let held = match search {
-            Search::Found(held) if allowed && self.capacity.is_open(now, &held.slot) => Some(held),
+            Search::Found(held) if allowed && self.capacity.is_slot_usable(now, &held.slot) => {
+                Some(held)
+            }
             Search::Found(held) => {
                 self.release_held_slot(ticket, &held, effects);
                 None
@@ -280,13 +286,13 @@
 
     /// Counts an admitted request, which adds a fraction of a retry to the budget of its pool.
     pub(super) fn count_for_retry_budget(&mut self, now: Instant, pool: &PoolName) {
-        let (rule, processes) = (self.settings.retry_budget, self.process_index.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.count);
         self.budget(pool).count_request(now, &rule, processes);
     }
 
     /// Takes one retry from the budget of a pool. Returns `false` where none is left.
     pub(super) fn take_retry(&mut self, now: Instant, pool: &PoolName) -> bool {
-        let (rule, processes) = (self.settings.retry_budget, self.process_index.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.count);
         self.budget(pool).take_retry(now, &rule, processes)
     }
 
@@ -323,7 +329,7 @@
                 self.broken_dispatches.iter_mut().filter(|broken| broken.target == *target);
             return broken.for_each(|broken| broken.is_target_reached = true);
         }
-        self.capacity.mark_down(now, target, incarnation);
+        self.capacity.back_off_unreachable(now, target, incarnation);
         self.count_crashes(now, target, false, effects);
     }
 
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -16,7 +16,7 @@
 
 /// Returns whether this process has no requests in flight at targets of other versions than the ordered one.
 fn is_idle(capacity: &Capacity, order: &Order) -> bool {
-    capacity.running_besides(&order.pool, &order.target) == 0
+    capacity.running_on_other_versions(&order.pool, &order.target) == 0
 }
 
 impl State {
@@ -88,7 +88,7 @@
     /// Reassigns to each target whether it gets requests, and those of which version.
     pub(super) fn assign_lanes(&mut self, now: Instant) {
         let rollouts = &mut self.rollouts;
-        self.capacity.assign(|pool, targets| rollouts.lanes(now, pool, targets));
+        self.capacity.assign_lanes(|pool, targets| rollouts.lanes(now, pool, targets));
     }
 
     /// Adds the result of a dispatch to the evidence about the version of its target.
@@ -108,7 +108,7 @@
                 let duration = now.saturating_duration_since(in_flight.dispatched_at);
                 let first = in_flight.time_to_first_event.unwrap_or(duration);
                 let rest = (duration.saturating_sub(first), events.saturating_sub(1));
-                Answer::Whole { first: in_flight.slot.each_token(first), rest }
+                Answer::Whole { first: in_flight.slot.first_event_per_token(first), rest }
             }
             Outcome::Failed
             | Outcome::Incomplete { .. }
@@ -116,7 +116,12 @@
             | Outcome::DeadlineExceeded => Answer::Failed,
             Outcome::Rejected | Outcome::Replaced | Outcome::Unreachable => return,
         };
-        self.rollouts.answered(&pending.pool, &pending.route, in_flight.slot.ordered, answer);
+        self.rollouts.answered(
+            &pending.pool,
+            &pending.route,
+            in_flight.slot.is_ordered_version,
+            answer,
+        );
     }
 
     /// Applies the state of rollouts in another process's row, which was made `age` ago.
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -10,7 +10,7 @@
 
 use super::{
     OUTAGE_THRESHOLD, RELISTING_TIME, State, allowance,
-    capacity::Place,
+    capacity::ProcessIndex,
     event::{Effect, LogEntry, Now},
     peers::{Row, UsageChange},
     plan::Configuration,
@@ -103,16 +103,18 @@
         let mut used = listed.clone();
         if keep_vanished {
             let names: BTreeSet<&str> = listed.iter().map(|target| target.name.as_str()).collect();
-            let vanished =
-                self.capacity.listed().filter(|target| !names.contains(target.name.as_str()));
+            let vanished = self
+                .capacity
+                .listed_targets()
+                .filter(|target| !names.contains(target.name.as_str()));
             used.extend(vanished.cloned());
         }
         let ready = used.iter().filter(|target| target.is_ready).count();
         let kept = used.len() - listed.len();
         let listed = used.len();
-        let restarted = self.capacity.list(used);
+        let restarted = self.capacity.replace_targets(used);
         self.assign_lanes(now);
-        let unordered = self.capacity.shut();
+        let unordered = self.capacity.closed_count();
         effects.push(Effect::Log(LogEntry::TargetsChanged { ready, listed, kept, unordered }));
         for target in restarted {
             // Requests whose connection broke off shortly before the restart ran when the target crashed.
@@ -164,8 +166,8 @@
         addresses.push(own);
         addresses.sort_unstable();
         let index = addresses.iter().position(|&address| address == own).unwrap_or_default();
-        self.process_index = Place { index: index as u32, among: addresses.len() as u32 };
-        self.capacity.share(self.peers.addresses().count());
+        self.process_index = ProcessIndex { index: index as u32, count: addresses.len() as u32 };
+        self.capacity.set_other_processes(self.peers.addresses().count());
         let known = self.peers.current_count(now, peer_timeout);
         self.current_processes = known as u32 + 1;
         let usable = self.peers.usable_parts(now, peer_timeout, own);
@@ -175,7 +177,7 @@
             let expected = self.peers.active_count(now, peer_timeout);
             effects.push(Effect::Log(LogEntry::PeersChanged { known, expected, usable }));
         }
-        self.capacity.count_others(now, self.peers.target_loads(now));
+        self.capacity.replace_other_load(now, self.peers.target_loads(now));
         self.advance_rollouts(now, effects);
     }
 }
