--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -244,28 +244,28 @@
 
 fn stepped(step: &Step) {
     let (action, decided) = match step.action {
-        Action::Try => ("try", None),
-        Action::Move => ("move", None),
+        Action::StartCanary => ("try", None),
+        Action::StartShift => ("move", None),
         Action::Complete => ("complete", None),
         Action::RollBack => ("roll_back", None),
-        Action::GiveUp => ("give_up", None),
+        Action::TimeOut => ("give_up", None),
         Action::Withdraw => ("withdraw", None),
-        Action::Follow(progress) => ("follow", Some(progress)),
+        Action::AdoptDecision(progress) => ("follow", Some(progress)),
     };
     info!(
         pool = step.pool,
-        target = step.target,
+        target = step.version,
         action,
         decided = ?decided,
         age_ms = millis(step.age),
-        dispatched = step.dispatched.0,
-        exposed = step.dispatched.1,
-        before_answers = step.before.answers,
-        before_failed = step.before.failed,
-        before_slow = step.before.slow,
-        after_answers = step.after.answers,
-        after_failed = step.after.failed,
-        after_slow = step.after.slow,
+        dispatched = step.dispatch_totals.0,
+        exposed = step.dispatch_totals.1,
+        before_answers = step.base.answers,
+        before_failed = step.base.failed,
+        before_slow = step.base.slow,
+        after_answers = step.ordered.answers,
+        after_failed = step.ordered.failed,
+        after_slow = step.ordered.slow,
         "a roll-out goes on"
     );
 }
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -187,7 +187,7 @@
     /// Reports whether the target accepts requests: it is listed, ready and not in backoff, and its
     /// version accepts requests.
     fn is_available(&self, now: Instant) -> bool {
-        let is_open = self.is_listed && self.target.is_ready && self.lane != Lane::Shut;
+        let is_open = self.is_listed && self.target.is_ready && self.lane != Lane::Closed;
         is_open && self.backoff_until.is_none_or(|until| until <= now)
     }
 
@@ -422,8 +422,8 @@
 
     /// Returns the number of ready targets whose version accepts no requests.
     pub fn closed_count(&self) -> usize {
-        let is_shut = |state: &&TargetState| state.target.is_ready && state.lane == Lane::Shut;
-        self.states.iter().filter(is_shut).count()
+        let is_closed = |state: &&TargetState| state.target.is_ready && state.lane == Lane::Closed;
+        self.states.iter().filter(is_closed).count()
     }
 
     /// Returns the number of this process's requests at targets of a pool that have another version.
--- a/components/scheduler/src/direct/era.rs
+++ b/components/scheduler/src/direct/era.rs
@@ -37,7 +37,7 @@
             self.era_began = Some(now);
             self.outage_ended = Some(now);
         }
-        self.rollouts.enter(era);
+        self.rollouts.enter_era(era);
     }
 
     /// Returns whether the configuration in force is current, given that the platform's newest one has this
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -354,7 +354,7 @@
             state.apply_configuration(configuration, &mut effects)
         }
         Event::RolloutOrdered(order) => {
-            let step = state.rollouts.order(now.steady, order, Duration::ZERO);
+            let step = state.rollouts.start(now.steady, order, Duration::ZERO);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
         Event::RolloutWithdrawn { pool, position } => {
@@ -363,7 +363,7 @@
         }
         Event::RolloutsReported(reports) => {
             for report in reports {
-                let step = state.rollouts.report(now.steady, &report);
+                let step = state.rollouts.apply_report(now.steady, &report);
                 state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
             }
         }
@@ -529,7 +529,7 @@
             account_usages: self.accounts.iter().map(account_usage).collect(),
             target_loads: self.capacity.own_load(now),
             target_limits: self.capacity.limit_reports(now).map(target_limit).collect(),
-            rollouts: self.shares(now),
+            rollouts: self.own_rollouts(now),
         }
     }
 
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -19,7 +19,7 @@
 use super::{
     event::{Incarnation, Registration},
     relay::Position,
-    rollout::Share,
+    rollout::PeerRollout,
 };
 
 /// Shortest time between two exchanges of rows with the same process.
@@ -114,7 +114,7 @@
     #[serde(default)]
     pub target_limits: Vec<TargetLimit>,
     /// State of each rollout at the process.
-    pub rollouts: Vec<Share>,
+    pub rollouts: Vec<PeerRollout>,
 }
 
 /// Another entry process.
@@ -285,15 +285,18 @@
     }
 
     /// Returns the states of rollouts from the newest rows of all other processes, stale rows included.
-    pub fn shares(&self) -> impl Iterator<Item = &Share> {
+    pub fn peer_rollouts(&self) -> impl Iterator<Item = &PeerRollout> {
         self.peers.values().flat_map(|peer| &peer.row.rollouts)
     }
 
-    /// Returns whether every active process reports that it has moved all requests to the version that
-    /// is ordered at this position.
-    pub fn all_moved(&self, now: Instant, peer_timeout: Duration, order: Position) -> bool {
+    /// Returns whether every active process reports that it has finished the traffic shift to the version
+    /// that is ordered at this position.
+    pub fn are_all_shifted(&self, now: Instant, peer_timeout: Duration, order: Position) -> bool {
         self.active(now, peer_timeout).all(|peer| {
-            peer.row.rollouts.iter().any(|share| share.order.position == order && share.moved)
+            peer.row
+                .rollouts
+                .iter()
+                .any(|rollout| rollout.order.position == order && rollout.is_shifted)
         })
     }
 
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -218,7 +218,7 @@
     pub fn deselect_from_rollout(&mut self, rollouts: &mut Rollouts) -> bool {
         let was_selected = self.is_selected_for_rollout.replace(false) == Some(true);
         if was_selected {
-            rollouts.release(&self.pool, &self.route);
+            rollouts.release_choice(&self.pool, &self.route);
         }
         was_selected
     }
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -106,7 +106,7 @@
         self.reserve_at = self.reserve_at.split_off(&now.steady);
         let (rule, processes, started) =
             (self.settings.retry_budget, self.process_index.count, self.started);
-        let is_in_minority = self.rollouts.any_active() && self.is_in_minority(now.steady);
+        let is_in_minority = self.rollouts.has_running() && self.is_in_minority(now.steady);
         for (pool, queue) in &mut self.waiting {
             if queue.is_empty() {
                 continue;
@@ -137,9 +137,15 @@
                 let is_selected = *pending.is_selected_for_rollout.get_or_insert_with(|| {
                     let max_share = self.settings.trial_share;
                     let pool_route = (pool, pending.route.as_str());
-                    self.rollouts.choose(now.steady, pool_route, spread, max_share, is_in_minority)
+                    self.rollouts.choose_ordered(
+                        now.steady,
+                        pool_route,
+                        spread,
+                        max_share,
+                        is_in_minority,
+                    )
                 });
-                let lane = self.rollouts.lane(now.steady, pool, is_selected);
+                let lane = self.rollouts.request_lane(now.steady, pool, is_selected);
                 let (possibly_ran_at, rejected_by) =
                     (pending.possibly_ran_at.clone(), pending.rejected_by.clone());
                 let demand = Demand {
@@ -227,7 +233,7 @@
     pending.charge = RetryCharge::Nothing;
     // The selection for a rollout is used up: any retry goes to the established version.
     pending.deselect_from_rollout(rollouts);
-    rollouts.dispatched(&pending.pool, &pending.route, slot.is_ordered_version);
+    rollouts.count_dispatch(&pending.pool, &pending.route, slot.is_ordered_version);
     let unresponsive_timeout =
         UNRESPONSIVE_TIMEOUT_MIN.max(slot.expected_first_event * UNRESPONSIVE_TIMEOUT_FACTOR);
     let dispatch = Dispatch {
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -164,8 +164,11 @@
         let pending = self.requests.get_mut(&ticket)?;
         let reserved = pending.take_reservation(number)?;
         self.capacity.record_agent_load(now, &reserved, load);
-        let lane =
-            self.rollouts.lane(now, &pending.pool, pending.is_selected_for_rollout == Some(true));
+        let lane = self.rollouts.request_lane(
+            now,
+            &pending.pool,
+            pending.is_selected_for_rollout == Some(true),
+        );
         let avoided = (&*pending.possibly_ran_at, &*pending.rejected_by);
         let demand = pending.demand(now, &pending.pool, &self.settings.zone, avoided);
         self.capacity.take_granted_slot(now, &reserved, &Demand { lane, ..demand })
--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -24,7 +24,7 @@
 
 pub use evidence::{Answer, Tally};
 use evidence::{Evidence, Judgement};
-pub use message::{Action, Lane, Order, Progress, Report, Share, Step, Version};
+pub use message::{Action, Lane, Order, PeerRollout, Progress, Report, Step, Version};
 
 use super::relay::{Era, Position};
 
@@ -88,11 +88,11 @@
 
 /// State of the peers that may take requests, with respect to one order.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Others {
+pub struct PeerStates {
     /// Whether the rows of at least half of the peers are fresh.
-    pub most: bool,
+    pub is_half_fresh: bool,
     /// Whether the rows of all peers are fresh and state that the traffic shift is finished.
-    pub moved: bool,
+    pub are_all_shifted: bool,
 }
 
 impl Rollout {
@@ -127,12 +127,12 @@
         let (base, ordered) = self.evidence.totals();
         Step {
             pool: self.order.pool.clone(),
-            target: self.order.target.clone(),
+            version: self.order.version.clone(),
             action,
             age: now.saturating_duration_since(self.ordered_at),
-            dispatched: self.dispatch_totals(),
-            before: base,
-            after: ordered,
+            dispatch_totals: self.dispatch_totals(),
+            base,
+            ordered,
         }
     }
 
@@ -146,7 +146,7 @@
 
     /// Returns the action that is due now; `None` if there is none or the rollout has ended. `is_idle`
     /// states whether this process has no request in flight at targets of other versions.
-    fn next_action(&self, now: Instant, others: Others, is_idle: bool) -> Option<Action> {
+    fn next_action(&self, now: Instant, peers: PeerStates, is_idle: bool) -> Option<Action> {
         if !self.is_active() {
             return None;
         }
@@ -155,25 +155,25 @@
             return Some(Action::RollBack);
         }
         if self.shift_started.is_some() {
-            let is_done = self.is_shift_complete(now) && is_idle && others.moved;
+            let is_done = self.is_shift_complete(now) && is_idle && peers.are_all_shifted;
             return is_done.then_some(Action::Complete);
         }
         let left = (self.ordered_at + self.order.duration).saturating_duration_since(now);
-        if left <= self.shift_duration() && judgement == Judgement::Good && others.most {
-            return Some(Action::Move);
+        if left <= self.shift_duration() && judgement == Judgement::Good && peers.is_half_fresh {
+            return Some(Action::StartShift);
         }
-        (left <= ROLLBACK_MARGIN).then_some(Action::GiveUp)
+        (left <= ROLLBACK_MARGIN).then_some(Action::TimeOut)
     }
 }
 
 impl Rollouts {
     /// Records an order that the operator gave `age` ago, and starts its rollout. Returns the step to
     /// log; `None` if the order is already known or older than the known one.
-    pub fn order(&mut self, now: Instant, order: Order, age: Duration) -> Option<Step> {
+    pub fn start(&mut self, now: Instant, order: Order, age: Duration) -> Option<Step> {
         let ordered_at = now.checked_sub(age).unwrap_or(now);
         if let Some(known) = self.rollouts.get_mut(&order.pool) {
             let is_same =
-                (&known.order.target, known.order.duration) == (&order.target, order.duration);
+                (&known.order.version, known.order.duration) == (&order.version, order.duration);
             if known.order.position >= order.position {
                 if known.order == order {
                     known.ordered_at = known.ordered_at.min(ordered_at);
@@ -189,10 +189,10 @@
         }
         let pool = order.pool.clone();
         let base_versions = self.base_versions.entry(pool.clone()).or_default();
-        base_versions.remove(&order.target);
+        base_versions.remove(&order.version);
         let previous = self.rollouts.get(&pool);
         let replaces_report = previous.is_some_and(|previous| {
-            previous.order.target == order.target && previous.progress != Progress::Running
+            previous.order.version == order.version && previous.progress != Progress::Running
         });
         let rollout = Rollout {
             order,
@@ -205,7 +205,7 @@
             route_counts: BTreeMap::new(),
             evidence: Evidence::default(),
         };
-        let step = rollout.step(now, Action::Try);
+        let step = rollout.step(now, Action::StartCanary);
         self.rollouts.insert(pool, rollout);
         Some(step)
     }
@@ -224,7 +224,7 @@
     }
 
     /// Enters a new era: the platform service was restored from an older copy, which may lack reports.
-    pub fn enter(&mut self, era: Era) {
+    pub fn enter_era(&mut self, era: Era) {
         self.era = era;
         for rollout in self.rollouts.values_mut() {
             rollout.reported = None;
@@ -233,9 +233,9 @@
 
     /// Applies a report that the platform service stores; a final one overrides this process's own
     /// decision. Returns the step to log, if the progress changes.
-    pub fn report(&mut self, now: Instant, report: &Report) -> Option<Step> {
+    pub fn apply_report(&mut self, now: Instant, report: &Report) -> Option<Step> {
         let rollout = self.rollouts.get_mut(&report.pool)?;
-        if rollout.order.target != report.target {
+        if rollout.order.version != report.version {
             return None;
         }
         if rollout.replaces_report && report.progress != Progress::Running {
@@ -247,24 +247,24 @@
     }
 
     /// Merges the state of a rollout that a peer sent `age` ago. Returns the steps to log.
-    pub fn hear(&mut self, now: Instant, age: Duration, share: &Share) -> Vec<Step> {
+    pub fn merge_peer(&mut self, now: Instant, age: Duration, peer: &PeerRollout) -> Vec<Step> {
         let mut steps = Vec::new();
-        steps.extend(self.order(now, share.order.clone(), share.age + age));
-        let Some(rollout) = self.rollouts.get_mut(&share.order.pool) else {
+        steps.extend(self.start(now, peer.order.clone(), peer.age + age));
+        let Some(rollout) = self.rollouts.get_mut(&peer.order.pool) else {
             return steps;
         };
-        if rollout.order.position != share.order.position {
+        if rollout.order.position != peer.order.position {
             return steps;
         }
         // The platform service may have lost a report of an older era.
-        let is_current = share.era >= self.era;
+        let is_current = peer.era >= self.era;
         if is_current && rollout.reported.is_none_or(|known| known == Progress::Running) {
-            rollout.reported = share.reported.or(rollout.reported);
+            rollout.reported = peer.reported.or(rollout.reported);
         }
         // A completion counts only if the platform service stores it: another process may have rolled back.
-        let decision = match share.progress {
+        let decision = match peer.progress {
             Progress::RolledBack => Some(Progress::RolledBack),
-            _ => share.reported,
+            _ => peer.reported,
         };
         steps.extend(
             decision.and_then(|decision| {
@@ -275,15 +275,15 @@
     }
 
     /// Recomputes the evidence of each rollout from this process's tallies and those in the peers' rows.
-    pub fn weigh<'a>(&mut self, shares: impl Iterator<Item = &'a Share>) {
+    pub fn update_evidence<'a>(&mut self, peers: impl Iterator<Item = &'a PeerRollout>) {
         for rollout in self.rollouts.values_mut() {
             rollout.evidence.reset_totals();
         }
-        for share in shares {
-            if let Some(rollout) = self.rollouts.get_mut(&share.order.pool)
-                && rollout.order.position == share.order.position
+        for peer in peers {
+            if let Some(rollout) = self.rollouts.get_mut(&peer.order.pool)
+                && rollout.order.position == peer.order.position
             {
-                rollout.evidence.add_peer(&share.tallies);
+                rollout.evidence.add_peer(&peer.tallies);
             }
         }
         for rollout in self.rollouts.values_mut() {
@@ -291,27 +291,27 @@
         }
     }
 
-    /// Takes the actions that are due, and returns their steps for the log. For an order, `others`
+    /// Takes the actions that are due, and returns their steps for the log. For an order, `peers`
     /// returns the state of the peers, and `is_idle` whether this process has no request in flight at
     /// targets of other versions.
     pub fn decide(
         &mut self,
         now: Instant,
-        others: impl Fn(&Order) -> Others,
+        peers: impl Fn(&Order) -> PeerStates,
         is_idle: impl Fn(&Order) -> bool,
     ) -> Vec<Step> {
         let mut steps = Vec::new();
         for rollout in self.rollouts.values_mut() {
-            let (others, is_idle) = (others(&rollout.order), is_idle(&rollout.order));
-            let Some(action) = rollout.next_action(now, others, is_idle) else {
+            let (peers, is_idle) = (peers(&rollout.order), is_idle(&rollout.order));
+            let Some(action) = rollout.next_action(now, peers, is_idle) else {
                 continue;
             };
             match action {
-                Action::Move => rollout.shift_started = Some(now),
+                Action::StartShift => rollout.shift_started = Some(now),
                 Action::Complete => {
                     let pool = rollout.order.pool.clone();
                     let base_versions = self.base_versions.entry(pool).or_default();
-                    *base_versions = BTreeSet::from([rollout.order.target.clone()]);
+                    *base_versions = BTreeSet::from([rollout.order.version.clone()]);
                     rollout.progress = Progress::Completed;
                 }
                 _ => rollout.progress = Progress::RolledBack,
@@ -330,32 +330,32 @@
         });
         let reports = unreported.map(|rollout| Report {
             pool: rollout.order.pool.clone(),
-            target: rollout.order.target.clone(),
+            version: rollout.order.version.clone(),
             progress: rollout.progress,
-            renews: rollout.replaces_report,
+            replaces_report: rollout.replaces_report,
         });
         reports.collect()
     }
 
     /// Returns the state of each rollout for this process's row; `is_idle` as in [`Rollouts::decide`].
-    pub fn shares(&self, now: Instant, is_idle: impl Fn(&Order) -> bool) -> Vec<Share> {
-        let shares = self.rollouts.values().map(|rollout| Share {
+    pub fn own_rollouts(&self, now: Instant, is_idle: impl Fn(&Order) -> bool) -> Vec<PeerRollout> {
+        let rollouts = self.rollouts.values().map(|rollout| PeerRollout {
             order: rollout.order.clone(),
             age: now.saturating_duration_since(rollout.ordered_at),
             progress: rollout.progress,
             reported: rollout.reported,
             era: self.era,
-            moved: rollout.is_shift_complete(now) && is_idle(&rollout.order),
+            is_shifted: rollout.is_shift_complete(now) && is_idle(&rollout.order),
             tallies: if rollout.is_active() { rollout.evidence.own_tallies() } else { Vec::new() },
         });
-        shares.collect()
+        rollouts.collect()
     }
 
     /// Decides whether a request that enters the queue goes to the ordered version, and counts it as
-    /// pending there if so. `spread` is spread evenly from 0 to 1; `canary_limit` is the share of requests
+    /// pending there if so. `spread` is distributed evenly from 0 to 1; `canary_limit` is the share of requests
     /// that a version may get before it is judged good. A process is isolated if the rows of most peers
     /// are stale: since those may have got bad answers, it chooses no request.
-    pub fn choose(
+    pub fn choose_ordered(
         &mut self,
         now: Instant,
         (pool, route): (&PoolName, &str),
@@ -383,16 +383,16 @@
 
     /// Removes a request from the pending ones of the ordered version, once it is dispatched, ends or goes to
     /// the base version instead.
-    pub fn release(&mut self, pool: &PoolName, route: &str) {
+    pub fn release_choice(&mut self, pool: &PoolName, route: &str) {
         let rollout = self.rollouts.get_mut(pool);
         if let Some(count) = rollout.and_then(|rollout| rollout.route_counts.get_mut(route)) {
             count.pending = count.pending.saturating_sub(1);
         }
     }
 
-    /// Returns which targets a request of a pool may go to; `is_chosen` is what [`Rollouts::choose`]
+    /// Returns which targets a request of a pool may go to; `is_chosen` is what [`Rollouts::choose_ordered`]
     /// returned for it.
-    pub fn lane(&self, now: Instant, pool: &PoolName, is_chosen: bool) -> Lane {
+    pub fn request_lane(&self, now: Instant, pool: &PoolName, is_chosen: bool) -> Lane {
         match self.rollouts.get(pool) {
             Some(rollout)
                 if rollout.is_active() && (is_chosen || rollout.is_shift_complete(now)) =>
@@ -404,7 +404,7 @@
     }
 
     /// Counts a dispatch to a target of a pool; `is_ordered` if the target runs the ordered version.
-    pub fn dispatched(&mut self, pool: &PoolName, route: &str, is_ordered: bool) {
+    pub fn count_dispatch(&mut self, pool: &PoolName, route: &str, is_ordered: bool) {
         if let Some(rollout) = self.rollouts.get_mut(pool).filter(|rollout| rollout.is_active()) {
             let count = rollout.route_counts.entry(route.to_owned()).or_default();
             count.dispatched += 1;
@@ -413,7 +413,7 @@
     }
 
     /// Counts the answer to a dispatch; `is_ordered` if the target runs the ordered version.
-    pub fn answered(&mut self, pool: &PoolName, route: &str, is_ordered: bool, answer: Answer) {
+    pub fn count_answer(&mut self, pool: &PoolName, route: &str, is_ordered: bool, answer: Answer) {
         if let Some(rollout) = self.rollouts.get_mut(pool).filter(|rollout| rollout.is_active()) {
             rollout.evidence.record(route, is_ordered, answer);
         }
@@ -421,12 +421,12 @@
 
     /// Returns the number of this process's dispatches to the ordered version of a pool; 0 without a
     /// rollout.
-    pub fn exposed(&self, pool: &str) -> u64 {
+    pub fn dispatched_to_ordered(&self, pool: &str) -> u64 {
         self.rollouts.get(pool).map_or(0, |rollout| rollout.dispatch_totals().1)
     }
 
     /// Whether any rollout is still running.
-    pub fn any_active(&self) -> bool {
+    pub fn has_running(&self) -> bool {
         self.rollouts.values().any(Rollout::is_active)
     }
 
@@ -434,14 +434,14 @@
     /// whether it is ready. Base versions are those that the pool had first, or the one whose rollout
     /// completed last. If no listed target runs one of them, all listed versions except the latest ordered
     /// one become base versions.
-    pub fn lanes(
+    pub fn target_lanes(
         &mut self,
         now: Instant,
         pool: &PoolName,
         targets: &[(&Version, bool)],
     ) -> Vec<Lane> {
         let rollout = self.rollouts.get(pool);
-        let ordered_version = rollout.map(|rollout| &rollout.order.target);
+        let ordered_version = rollout.map(|rollout| &rollout.order.version);
         let base_versions = self.base_versions.entry(pool.clone()).or_default();
         let versions = targets.iter().map(|&(version, _)| version);
         if !versions.clone().any(|version| base_versions.contains(version)) {
@@ -458,11 +458,11 @@
             (old.count() as f64 * CANARY_TARGET_FRACTION).ceil().max(1.0) as usize;
         let lane = |&(version, is_ready): &(&Version, bool)| {
             if base_versions.contains(version) {
-                return if is_shifted { Lane::Shut } else { Lane::Base };
+                return if is_shifted { Lane::Closed } else { Lane::Base };
             }
-            let is_ordered = active.is_some_and(|rollout| rollout.order.target == *version);
+            let is_ordered = active.is_some_and(|rollout| rollout.order.version == *version);
             if !is_ordered || (!is_shifting && canaries_left == 0) {
-                return Lane::Shut;
+                return Lane::Closed;
             }
             canaries_left = canaries_left.saturating_sub(usize::from(is_ready));
             Lane::Ordered
@@ -482,12 +482,12 @@
     if decision == Progress::Running || rollout.progress == decision {
         return None;
     }
-    let Order { pool, target, .. } = &rollout.order;
+    let Order { pool, version, .. } = &rollout.order;
     let base_versions = base_versions.entry(pool.clone()).or_default();
     match decision {
-        Progress::Completed => *base_versions = BTreeSet::from([target.clone()]),
-        _ => drop(base_versions.remove(target)),
+        Progress::Completed => *base_versions = BTreeSet::from([version.clone()]),
+        _ => drop(base_versions.remove(version)),
     }
     rollout.progress = decision;
-    Some(rollout.step(now, Action::Follow(decision)))
+    Some(rollout.step(now, Action::AdoptDecision(decision)))
 }
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -57,11 +57,11 @@
     /// The answer was a failure, or didn't arrive completely.
     Failed,
     /// The whole answer arrived.
-    Whole {
+    Complete {
         /// Time to the first event or the response head, divided by the tokens that the target read for it.
-        first: Duration,
+        first_per_token: Duration,
         /// Time from the first event to the last, and the number of events after the first.
-        rest: (Duration, u32),
+        after_first: (Duration, u32),
     },
 }
 
@@ -179,7 +179,8 @@
         let baseline = self.baselines.entry(route.to_owned()).or_default();
         let pair = self.own.entry(route.to_owned()).or_default();
         let tally = if is_ordered { &mut pair.ordered } else { &mut pair.base };
-        let Answer::Whole { first, rest: (time, events) } = answer else {
+        let Answer::Complete { first_per_token: first, after_first: (time, events) } = answer
+        else {
             tally.answers += 1;
             tally.failed += 1;
             return;
--- a/components/scheduler/src/direct/rollout/message.rs
+++ b/components/scheduler/src/direct/rollout/message.rs
@@ -17,7 +17,7 @@
     /// Pool whose requests are shifted.
     pub pool: PoolName,
     /// The ordered version: the requests are shifted to the targets that run it.
-    pub target: Version,
+    pub version: Version,
     /// Time from the order to the deadline of the rollout.
     pub duration: Duration,
     /// Position of the order in the platform service's stream; a later order for the pool replaces it.
@@ -41,17 +41,17 @@
     /// Pool of the rollout.
     pub pool: PoolName,
     /// The ordered version.
-    pub target: Version,
+    pub version: Version,
     /// Progress of the rollout.
     pub progress: Progress,
     /// Whether this report replaces a final report of the same version that belongs to an earlier order;
     /// always false in reports that were read.
-    pub renews: bool,
+    pub replaces_report: bool,
 }
 
 /// State of a rollout at one process, as sent to its peers in its row.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Share {
+pub struct PeerRollout {
     /// Order that the process follows.
     pub order: Order,
     /// Time since the operator gave the order: the longest that the process or a peer has measured.
@@ -64,7 +64,7 @@
     pub era: Era,
     /// Whether the process has finished the traffic shift: it dispatches no request to targets of other
     /// versions, and has none in flight there.
-    pub moved: bool,
+    pub is_shifted: bool,
     /// Answers that the process counted, by route: of the base version, and of the ordered one. Empty after
     /// the rollout's end.
     pub tallies: Vec<(String, Tally, Tally)>,
@@ -79,7 +79,7 @@
     /// Targets of the ordered version.
     Ordered,
     /// Targets that take no requests.
-    Shut,
+    Closed,
 }
 
 /// A step of a rollout, for the log.
@@ -88,34 +88,34 @@
     /// Pool of the rollout.
     pub pool: PoolName,
     /// The ordered version.
-    pub target: Version,
+    pub version: Version,
     /// Action that was taken.
     pub action: Action,
     /// Time since the operator gave the order.
     pub age: Duration,
     /// Dispatches of this process to the pool since the order: to any version, and to the ordered one.
-    pub dispatched: (u64, u64),
+    pub dispatch_totals: (u64, u64),
     /// Answers of the base version, over all processes.
-    pub before: Tally,
+    pub base: Tally,
     /// Answers of the ordered version, over all processes.
-    pub after: Tally,
+    pub ordered: Tally,
 }
 
 /// Action that a process takes in a rollout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Starts the canary phase of a new order.
-    Try,
+    StartCanary,
     /// Starts the traffic shift, since the ordered version was judged good.
-    Move,
+    StartShift,
     /// Completes the rollout: the ordered version becomes the base version.
     Complete,
     /// Rolls back, since the ordered version was judged worse than the base version.
     RollBack,
     /// Rolls back, since the ordered version wasn't judged good before the deadline.
-    GiveUp,
+    TimeOut,
     /// Rolls back without a report, since the operator withdrew the order.
     Withdraw,
     /// Adopts the final progress that a peer or the platform service stated.
-    Follow(Progress),
+    AdoptDecision(Progress),
 }
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -7,16 +7,16 @@
     capacity::Capacity,
     event::{Effect, LogEntry, Outcome, Target, Ticket},
     pending::InFlight,
-    rollout::{Answer, Order, Others, Report, Share, Step},
+    rollout::{Answer, Order, PeerRollout, PeerStates, Report, Step},
 };
 
-fn rollout_note(step: Step) -> Effect {
+fn rollout_log_entry(step: Step) -> Effect {
     Effect::Log(LogEntry::Rollout(Box::new(step)))
 }
 
 /// Returns whether this process has no requests in flight at targets of other versions than the ordered one.
 fn is_idle(capacity: &Capacity, order: &Order) -> bool {
-    capacity.running_on_other_versions(&order.pool, &order.target) == 0
+    capacity.running_on_other_versions(&order.pool, &order.version) == 0
 }
 
 impl State {
@@ -32,7 +32,7 @@
 
     /// Returns the number of dispatches of this process to the version that is ordered for a pool.
     pub fn dispatches_to_ordered_version(&self, pool: &str) -> u64 {
-        self.rollouts.exposed(pool)
+        self.rollouts.dispatched_to_ordered(pool)
     }
 
     /// Returns the target at which a request is in flight; `None` where it is at none.
@@ -42,8 +42,8 @@
     }
 
     /// Returns the state of rollouts that this process sends to the others in its row.
-    pub(super) fn shares(&self, now: Instant) -> Vec<Share> {
-        self.rollouts.shares(now, |order| is_idle(&self.capacity, order))
+    pub(super) fn own_rollouts(&self, now: Instant) -> Vec<PeerRollout> {
+        self.rollouts.own_rollouts(now, |order| is_idle(&self.capacity, order))
     }
 
     /// Applies steps of rollouts, if any: reassigns which requests the targets of each version accept, and
@@ -57,26 +57,27 @@
         if !steps.is_empty() {
             self.assign_lanes(now);
         }
-        effects.extend(steps.into_iter().map(rollout_note));
+        effects.extend(steps.into_iter().map(rollout_log_entry));
     }
 
     /// Evaluates the evidence about active rollouts from all processes and applies the resulting steps.
     pub(super) fn advance_rollouts(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        if !self.rollouts.any_active() {
+        if !self.rollouts.has_running() {
             return;
         }
-        self.rollouts.weigh(self.peers.shares());
-        let most = !self.is_in_minority(now);
+        self.rollouts.update_evidence(self.peers.peer_rollouts());
+        let is_half_fresh = !self.is_in_minority(now);
         let has_all_peers = !self.is_missing_peers(now);
         let peer_timeout = self.settings.peer_timeout;
-        let others = |order: &Order| {
-            let moved = has_all_peers && self.peers.all_moved(now, peer_timeout, order.position);
-            Others { most, moved }
+        let peers = |order: &Order| {
+            let are_all_shifted =
+                has_all_peers && self.peers.are_all_shifted(now, peer_timeout, order.position);
+            PeerStates { is_half_fresh, are_all_shifted }
         };
-        let steps = self.rollouts.decide(now, others, |order| is_idle(&self.capacity, order));
+        let steps = self.rollouts.decide(now, peers, |order| is_idle(&self.capacity, order));
         // The share of requests that go to the new version grows with time, also without a step.
         self.assign_lanes(now);
-        effects.extend(steps.into_iter().map(rollout_note));
+        effects.extend(steps.into_iter().map(rollout_log_entry));
     }
 
     /// Returns whether fewer than half of the other processes that may take requests have current rows.
@@ -88,7 +89,7 @@
     /// Reassigns to each target whether it gets requests, and those of which version.
     pub(super) fn assign_lanes(&mut self, now: Instant) {
         let rollouts = &mut self.rollouts;
-        self.capacity.assign_lanes(|pool, targets| rollouts.lanes(now, pool, targets));
+        self.capacity.assign_lanes(|pool, targets| rollouts.target_lanes(now, pool, targets));
     }
 
     /// Adds the result of a dispatch to the evidence about the version of its target.
@@ -99,7 +100,7 @@
         in_flight: &InFlight,
         (outcome, events): (Outcome, u32),
     ) {
-        let Some(pending) = self.requests.get(&ticket).filter(|_| self.rollouts.any_active())
+        let Some(pending) = self.requests.get(&ticket).filter(|_| self.rollouts.has_running())
         else {
             return;
         };
@@ -107,8 +108,11 @@
             Outcome::Completed => {
                 let duration = now.saturating_duration_since(in_flight.dispatched_at);
                 let first = in_flight.time_to_first_event.unwrap_or(duration);
-                let rest = (duration.saturating_sub(first), events.saturating_sub(1));
-                Answer::Whole { first: in_flight.slot.first_event_per_token(first), rest }
+                let after_first = (duration.saturating_sub(first), events.saturating_sub(1));
+                Answer::Complete {
+                    first_per_token: in_flight.slot.first_event_per_token(first),
+                    after_first,
+                }
             }
             Outcome::Failed
             | Outcome::Incomplete { .. }
@@ -116,7 +120,7 @@
             | Outcome::DeadlineExceeded => Answer::Failed,
             Outcome::Rejected | Outcome::Replaced | Outcome::Unreachable => return,
         };
-        self.rollouts.answered(
+        self.rollouts.count_answer(
             &pending.pool,
             &pending.route,
             in_flight.slot.is_ordered_version,
@@ -125,15 +129,15 @@
     }
 
     /// Applies the state of rollouts in another process's row, which was made `age` ago.
-    pub(super) fn receive_shares(
+    pub(super) fn merge_peer_rollouts(
         &mut self,
         now: Instant,
         age: Duration,
-        shares: &[Share],
+        rollouts: &[PeerRollout],
         effects: &mut Vec<Effect>,
     ) {
-        for share in shares {
-            let steps = self.rollouts.hear(now, age, share);
+        for rollout in rollouts {
+            let steps = self.rollouts.merge_peer(now, age, rollout);
             self.apply_steps(now, steps, effects);
         }
     }
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -136,7 +136,7 @@
     pub(super) fn receive_rows(&mut self, now: Instant, rows: Vec<Row>, effects: &mut Vec<Effect>) {
         let (own, started) = (self.settings.address, self.started);
         for row in rows.into_iter().filter(|row| row.address != Some(own)) {
-            self.receive_shares(now, row.age, &row.rollouts, effects);
+            self.merge_peer_rollouts(now, row.age, &row.rollouts, effects);
             self.record_peer_limits(now, row.age, &row.target_limits, effects);
             for change in self.peers.record_row(now, now.saturating_duration_since(started), row) {
                 let (UsageChange::Admitted(account, _) | UsageChange::Remaining(account, _)) =
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -88,7 +88,7 @@
 
 fn order() -> Order {
     let position = Position { era: 1, offset: 9 };
-    Order { pool: "pool".into(), target: "v2".into(), duration: ROLLOUT_DURATION, position }
+    Order { pool: "pool".into(), version: "v2".into(), duration: ROLLOUT_DURATION, position }
 }
 
 fn targets(version: &str, first_number: u16) -> Vec<Target> {
@@ -477,7 +477,7 @@
     let row = first.state.next_row(first.now.steady);
     second.send(Event::RowsReceived(vec![row]));
 
-    assert_eq!(second.state.reports()[0].target, "v2");
+    assert_eq!(second.state.reports()[0].version, "v2");
 }
 
 /// The first final report that the platform service stores decides for all processes.
@@ -488,9 +488,9 @@
     process.send(Event::RolloutOrdered(order()));
     let stored = Report {
         pool: "pool".into(),
-        target: "v2".into(),
+        version: "v2".into(),
         progress: Progress::Completed,
-        renews: false,
+        replaces_report: false,
     };
 
     process.send(Event::RolloutsReported(vec![stored]));
@@ -508,9 +508,9 @@
     let mut second = started_process(1, None);
     let stored = Report {
         pool: "pool".into(),
-        target: "v2".into(),
+        version: "v2".into(),
         progress: Progress::RolledBack,
-        renews: false,
+        replaces_report: false,
     };
     for process in [&mut first, &mut second] {
         process.send(Event::RolloutOrdered(order()));
