--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, blank, configuration, limit, process, request, reservations, route, start, starts,
-    target,
+    Process, configuration, configured_process, dispatches, empty_process, limit, only_dispatch,
+    request, reservations, route, target,
 };
 use model::reservation::Load;
 use scheduler::direct::{
@@ -31,7 +31,7 @@
 /// An entry process with one route whose streams can be resumed and one whose requests aren't repeated.
 fn entry(targets: Vec<Target>) -> Process {
     let routes = vec![route("/resume/", Repeat::Resumable), route("/never/", Repeat::Never)];
-    process(configuration(1, routes, Some(limit(100_000.0))), targets)
+    configured_process(configuration(1, routes, Some(limit(100_000.0))), targets)
 }
 
 /// Numbers of the reservations that are withdrawn.
@@ -60,7 +60,7 @@
 
     assert_eq!(reserved.iter().map(|reserved| reserved.number).collect::<Vec<_>>(), [1, 2]);
     assert_ne!(reserved[0].target, reserved[1].target);
-    assert_eq!(start(&effects).target, reserved[1].target);
+    assert_eq!(only_dispatch(&effects).target, reserved[1].target);
     assert_eq!(withdrawn(&effects), [1]);
 }
 
@@ -70,7 +70,7 @@
     let mut reserved = reservations(&entry.arrive(request(1, "/never/"))).len();
 
     for _ in 0..59 {
-        reserved += reservations(&entry.pass(10 * MS)).len();
+        reserved += reservations(&entry.advance(10 * MS)).len();
     }
 
     assert!((4..=6).contains(&reserved), "{reserved}");
@@ -87,7 +87,7 @@
 /// Lets the entry process receive rows from this many other entry processes.
 fn discover_peers(entry: &mut Process, others: u16) {
     for number in 0..others {
-        let mut other = blank(50 + number);
+        let mut other = empty_process(50 + number);
         other.now = entry.now;
         let row = other.state.next_row(other.now.steady);
         entry.send(Event::RowsReceived(vec![row]));
@@ -118,7 +118,7 @@
 
     let effects = entry.arrive(request(1, "/never/"));
 
-    assert_eq!(start(&effects).target, "target-9");
+    assert_eq!(only_dispatch(&effects).target, "target-9");
     assert!(reservations(&effects).is_empty());
 }
 
@@ -138,7 +138,7 @@
 
     let effects = entry.arrive(request(1, "/never/"));
 
-    assert_eq!(starts(&effects).len(), usize::from(reservations(&effects).is_empty()));
+    assert_eq!(dispatches(&effects).len(), usize::from(reservations(&effects).is_empty()));
     reservations(&effects).len()
 }
 
@@ -152,7 +152,8 @@
         ..target
     };
 
-    let effects = entry.list(target_without_agent().into_iter().map(mark_leaving).collect());
+    let effects =
+        entry.list_targets(target_without_agent().into_iter().map(mark_leaving).collect());
 
     assert_eq!(withdrawn(&effects), [before.number]);
     let after = reservations(&effects).remove(0);
@@ -168,7 +169,7 @@
 
     let late = grant(&mut entry, 1, 2);
 
-    assert!(starts(&late).is_empty());
+    assert!(dispatches(&late).is_empty());
     assert_eq!(withdrawn(&late), [2]);
 }
 
@@ -178,7 +179,7 @@
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
 
-    let effects = entry.end(1, Outcome::Completed);
+    let effects = entry.end_dispatch(1, Outcome::Completed);
 
     assert_eq!(withdrawn(&effects), [1]);
 }
@@ -198,7 +199,7 @@
     let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.pass(Duration::from_millis(600));
+    let effects = entry.advance(Duration::from_millis(600));
 
     assert_eq!(direct_support::refusals(&effects).len(), 1);
     assert_eq!(withdrawn(&effects), [1, 2]);
@@ -213,10 +214,10 @@
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.list(remaining);
+    let effects = entry.list_targets(remaining);
 
     assert_eq!(withdrawn(&effects), [1]);
-    assert!(starts(&grant(&mut entry, 1, 1)).is_empty());
+    assert!(dispatches(&grant(&mut entry, 1, 1)).is_empty());
 }
 
 #[test]
@@ -225,11 +226,11 @@
     entry.arrive(request(1, "/never/"));
 
     let at_once = deny(&mut entry, 1, 1, DenialReason::AgentUnreachable);
-    entry.end(1, Outcome::Completed);
-    entry.pass(FIRST_BACKOFF_PASSED);
+    entry.end_dispatch(1, Outcome::Completed);
+    entry.advance(FIRST_BACKOFF_PASSED);
     let later = entry.arrive(request(2, "/never/"));
 
-    assert_eq!(start(&at_once).target, "target-0");
+    assert_eq!(only_dispatch(&at_once).target, "target-0");
     assert_eq!(reservations(&later).len(), 1);
 }
 
@@ -254,9 +255,9 @@
     entry.arrive(request(1, "/never/"));
 
     let at_once = deny(&mut entry, 1, 1, DenialReason::TargetUnreachable);
-    let later = entry.pass(FIRST_BACKOFF_PASSED);
+    let later = entry.advance(FIRST_BACKOFF_PASSED);
 
-    assert!(starts(&at_once).is_empty() && reservations(&at_once).is_empty());
+    assert!(dispatches(&at_once).is_empty() && reservations(&at_once).is_empty());
     assert_eq!(reservations(&later).len(), 1);
 }
 
@@ -264,7 +265,7 @@
 fn a_stream_that_broke_off_is_reserved_at_other_targets_with_the_highest_rank() {
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/resume/"));
-    let first = start(&grant(&mut entry, 1, 1)).target;
+    let first = only_dispatch(&grant(&mut entry, 1, 1)).target;
     entry.send(Event::AnswerBegan { ticket: 1 });
 
     let outcome = Outcome::Incomplete { crashed: false };
@@ -308,10 +309,11 @@
     // Retries that the budget allows in a window without new requests that follows another such window.
     const MAX_RETRIES: usize = 50;
     let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resumable) };
-    let mut entry = process(configuration(1, vec![patient], None), targets_with_agents(99));
+    let mut entry =
+        configured_process(configuration(1, vec![patient], None), targets_with_agents(99));
     for _ in 0..30 {
-        entry.pass(Duration::from_secs(1));
-        entry.confirm();
+        entry.advance(Duration::from_secs(1));
+        entry.confirm_configuration();
     }
     for ticket in 0..90 {
         let request = Request { timeout: Some(PATIENCE), ..request(ticket, "/patient/") };
@@ -325,13 +327,13 @@
         reserved.extend(reservations(&entry.send(broken)));
     }
     for _ in 0..200 {
-        reserved.extend(reservations(&entry.pass(100 * MS)));
-        entry.confirm();
+        reserved.extend(reservations(&entry.advance(100 * MS)));
+        entry.confirm_configuration();
     }
 
     let resumed =
         reserved.iter().flat_map(|reserved| grant(&mut entry, reserved.ticket, reserved.number));
-    let resumed = starts(&resumed.collect::<Vec<_>>()).len();
+    let resumed = dispatches(&resumed.collect::<Vec<_>>()).len();
 
     assert!(resumed <= MAX_RETRIES, "{resumed} of {MAX_RETRIES}");
 }
--- a/components/scheduler/tests/direct_agents_fuzz.rs
+++ b/components/scheduler/tests/direct_agents_fuzz.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use direct_support::{Process, address, configuration, process, request, route, target};
+use direct_support::{Process, address, configuration, configured_process, request, route, target};
 use model::reservation::{Ask, Id};
 use proptest::{
     prelude::*,
@@ -112,7 +112,7 @@
     let targets: Vec<Target> = (0..TARGET_COUNT)
         .map(|number| Target { agent_address: agent(number), ..target(number) })
         .collect();
-    let entry = |_| process(configuration(1, routes.clone(), None), targets.clone());
+    let entry = |_| configured_process(configuration(1, routes.clone(), None), targets.clone());
     let grant = Duration::from_secs(10);
     let room = Room { slots: SLOTS_PER_TARGET, tokens: u64::MAX, waiting: 100, grant };
     let policy = Policy { floor: 0.05, newest: true, ..Policy::first() };
@@ -153,10 +153,10 @@
                     self.running.retain(|_, held| *held != key);
                     self.enqueue(key, agent, true, Message::Withdraw(key));
                 }
-                Effect::Dispatch(start) => {
+                Effect::Dispatch(dispatch) => {
                     let key = granted.expect("a request starts only after a grant");
-                    assert_eq!(start.target, format!("target-{}", self.open_reservations[&key]));
-                    let before = self.running.insert((entry, start.ticket), key);
+                    assert_eq!(dispatch.target, format!("target-{}", self.open_reservations[&key]));
+                    let before = self.running.insert((entry, dispatch.ticket), key);
                     assert!(before.is_none(), "request of {key:?} runs twice");
                 }
                 _ => {}
--- a/components/scheduler/tests/direct_bursts.rs
+++ b/components/scheduler/tests/direct_bursts.rs
@@ -8,35 +8,37 @@
 
 use std::{ops::Range, time::Duration};
 
-use direct_support::site::{Agents, Kind, Lengths, Site, World, world_of};
+use direct_support::site::{
+    Agents, AnswerLengths, RequestKind, Simulation, Site, simulation_of_lengths,
+};
 use test_case::test_case;
 
-const HIGHEST_TIER: Kind = Kind {
+const HIGHEST_TIER: RequestKind = RequestKind {
     path: "/first/",
     rank: 0,
-    share: 0.29,
-    aim: Duration::from_millis(800),
-    patience: Duration::from_secs(5),
-    median: 19.0,
-    spread: 4.5,
+    fraction: 0.29,
+    target_latency: Duration::from_millis(800),
+    timeout: Duration::from_secs(5),
+    median_tokens: 19.0,
+    tokens_spread: 4.5,
 };
-const MIDDLE_TIER: Kind = Kind {
+const MIDDLE_TIER: RequestKind = RequestKind {
     path: "/middle/",
     rank: 1,
-    share: 0.55,
-    aim: Duration::from_millis(1_000),
-    patience: Duration::from_secs(3),
-    median: 9.0,
-    spread: 4.0,
+    fraction: 0.55,
+    target_latency: Duration::from_millis(1_000),
+    timeout: Duration::from_secs(3),
+    median_tokens: 9.0,
+    tokens_spread: 4.0,
 };
-const LOWEST_TIER: Kind = Kind {
+const LOWEST_TIER: RequestKind = RequestKind {
     path: "/last/",
     rank: 2,
-    share: 0.16,
-    aim: Duration::from_millis(1_200),
-    patience: Duration::from_secs(15),
-    median: 104.0,
-    spread: 4.5,
+    fraction: 0.16,
+    target_latency: Duration::from_millis(1_200),
+    timeout: Duration::from_secs(15),
+    median_tokens: 104.0,
+    tokens_spread: 4.5,
 };
 
 /// Requests a second of all tiers together, before and after the bursts.
@@ -46,14 +48,17 @@
 /// Factor by which the rate of the lowest tier grows in [`LOWEST_TIER_BURST_MS`].
 const LOWEST_TIER_FACTOR: f64 = 2.7;
 /// Factor by which the total rate grows where only the rate of the lowest tier does.
-const TOTAL_FACTOR: f64 = 1.0 - LOWEST_TIER.share + LOWEST_TIER.share * LOWEST_TIER_FACTOR;
+const TOTAL_FACTOR: f64 = 1.0 - LOWEST_TIER.fraction + LOWEST_TIER.fraction * LOWEST_TIER_FACTOR;
 
-const KINDS: &[Kind] = &[HIGHEST_TIER, MIDDLE_TIER, LOWEST_TIER];
+const KINDS: &[RequestKind] = &[HIGHEST_TIER, MIDDLE_TIER, LOWEST_TIER];
 /// Kinds of requests while the rate of the lowest tier is raised; their shares sum up to 1 again.
-const KINDS_IN_LOWEST_TIER_BURST: &[Kind] = &[
-    Kind { share: HIGHEST_TIER.share / TOTAL_FACTOR, ..HIGHEST_TIER },
-    Kind { share: MIDDLE_TIER.share / TOTAL_FACTOR, ..MIDDLE_TIER },
-    Kind { share: LOWEST_TIER.share * LOWEST_TIER_FACTOR / TOTAL_FACTOR, ..LOWEST_TIER },
+const KINDS_IN_LOWEST_TIER_BURST: &[RequestKind] = &[
+    RequestKind { fraction: HIGHEST_TIER.fraction / TOTAL_FACTOR, ..HIGHEST_TIER },
+    RequestKind { fraction: MIDDLE_TIER.fraction / TOTAL_FACTOR, ..MIDDLE_TIER },
+    RequestKind {
+        fraction: LOWEST_TIER.fraction * LOWEST_TIER_FACTOR / TOTAL_FACTOR,
+        ..LOWEST_TIER
+    },
 ];
 /// Index of the lowest tier in [`KINDS`] and [`KINDS_IN_LOWEST_TIER_BURST`].
 const LOWEST_TIER_INDEX: usize = 2;
@@ -68,29 +73,30 @@
 const MIN_RELATIVE_SHARE: f64 = 0.5;
 
 /// Simulates the bursts until all requests have ended.
-fn simulate(seed: u64) -> World {
+fn simulate(seed: u64) -> Simulation {
     let site = Site {
         entries: 31,
         targets: 24,
         slots: 5,
-        held: 0,
-        load: BASE_REQUESTS_PER_SECOND,
-        agents: Agents::Beside,
+        mean_service_ms: 0,
+        requests_per_second: BASE_REQUESTS_PER_SECOND,
+        agents: Agents::AtTargets,
     };
-    let lengths = Lengths { kinds: KINDS, first: [80.0, 160.0], token: [4.4, 14.0] };
-    let mut world = world_of(site, lengths, seed);
+    let lengths =
+        AnswerLengths { kinds: KINDS, first_token_ms: [80.0, 160.0], token_ms: [4.4, 14.0] };
+    let mut simulation = simulation_of_lengths(site, lengths, seed);
     for at_ms in 0..END_MS {
         let factor = if ALL_TIERS_BURST_MS.contains(&at_ms) { ALL_TIERS_FACTOR } else { 1.0 };
         if LOWEST_TIER_BURST_MS.contains(&at_ms) {
             let rate = BASE_REQUESTS_PER_SECOND * factor * TOTAL_FACTOR;
-            world.ask(rate, KINDS_IN_LOWEST_TIER_BURST);
+            simulation.set_load(rate, KINDS_IN_LOWEST_TIER_BURST);
         } else {
-            world.ask(BASE_REQUESTS_PER_SECOND * factor, KINDS);
+            simulation.set_load(BASE_REQUESTS_PER_SECOND * factor, KINDS);
         }
-        world.pass();
+        simulation.step();
     }
-    world.finish();
-    world
+    simulation.finish();
+    simulation
 }
 
 /// Guards against unfairness within an overloaded tier: long answers that get a slot far less often than the
@@ -98,11 +104,11 @@
 #[test_case(1; "seed_1")]
 #[test_case(2; "seed_2")]
 fn the_longest_answers_are_served_at_least_half_as_often_as_their_tier_in_a_burst(seed: u64) {
-    let world = simulate(seed);
+    let simulation = simulate(seed);
 
-    let whole_tier = world.served(LOWEST_TIER_INDEX, 0.0..1.0);
-    let [longest_tenth, next_fifth] =
-        [0.9..1.0, 0.7..0.9].map(|quantiles| world.served(LOWEST_TIER_INDEX, quantiles));
+    let whole_tier = simulation.served_fraction(LOWEST_TIER_INDEX, 0.0..1.0);
+    let [longest_tenth, next_fifth] = [0.9..1.0, 0.7..0.9]
+        .map(|quantiles| simulation.served_fraction(LOWEST_TIER_INDEX, quantiles));
     let required = MIN_RELATIVE_SHARE * whole_tier;
     assert!(
         longest_tenth >= required,
--- a/components/scheduler/tests/direct_crashes.rs
+++ b/components/scheduler/tests/direct_crashes.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, blank, configuration, fetches, limit, process, refusals, request, route, settings,
-    start, starts, targets,
+    Process, configuration, configured_process, dispatches, empty_process, fetches, limit,
+    only_dispatch, refusals, request, route, settings, targets,
 };
 use scheduler::direct::{
     self, Event, Outcome, Request, Ticket,
@@ -30,18 +30,18 @@
     let mut settings = settings(number);
     settings.incarnation = incarnation;
     let state = direct::open(clock.now.steady, settings);
-    let mut entry = Process { state, now: clock.now, ..blank(number) };
+    let mut entry = Process { state, now: clock.now, ..empty_process(number) };
     entry.send(Event::ConfigurationRead(
         configuration(1, vec![route("/a/", Repeat::Idempotent)], None).into(),
     ));
-    entry.confirm();
-    entry.list(targets(9));
+    entry.confirm_configuration();
+    entry.list_targets(targets(9));
     entry
 }
 
 /// Returns entry processes that share a clock and don't know of each other yet.
 fn entries(count: u16) -> Vec<Process> {
-    let clock = blank(1);
+    let clock = empty_process(1);
     (1..=count).map(|number| entry(number, 1, &clock)).collect()
 }
 
@@ -54,13 +54,13 @@
 
 /// Dispatches a request with a body that crashes its target; the target is used again afterwards.
 fn crash_target(entry: &mut Process, ticket: Ticket, body: u16) {
-    let target = start(&entry.arrive(request_with_body(ticket, body))).target;
-    entry.end(ticket, Outcome::Incomplete { crashed: true });
+    let target = only_dispatch(&entry.arrive(request_with_body(ticket, body))).target;
+    entry.end_dispatch(ticket, Outcome::Incomplete { crashed: true });
     entry.send(Event::CallerDisconnected { ticket, events: 0 });
     entry.send(Event::Probed { target, reached: false });
     // After this time the target is no longer marked as down.
-    entry.pass(Duration::from_secs(2));
-    entry.confirm();
+    entry.advance(Duration::from_secs(2));
+    entry.confirm_configuration();
 }
 
 /// Lets a process receive the other's row and offer and fetch the topics in which the other is ahead,
@@ -68,14 +68,14 @@
 fn receive_from(entry: &mut Process, other: &mut Process) -> Vec<Topic> {
     let row = other.state.next_row(other.now.steady);
     entry.send(Event::RowsReceived(vec![row]));
-    let (topics, _) = entry.hear_offer(other);
-    topics.iter().for_each(|&topic| drop(entry.fetch(other, topic)));
+    let (topics, _) = entry.receive_offer(other);
+    topics.iter().for_each(|&topic| drop(entry.receive_topic(other, topic)));
     topics
 }
 
 fn is_refused(entry: &mut Process, ticket: Ticket, body: u16) -> bool {
     let effects = entry.arrive(request_with_body(ticket, body));
-    starts(&effects).is_empty() && !refusals(&effects).is_empty()
+    dispatches(&effects).is_empty() && !refusals(&effects).is_empty()
 }
 
 /// Returns the size in bytes of the row and the offer that a process sends in each exchange.
@@ -147,14 +147,14 @@
             let other = (index + 1 + round % (ENTRIES - 1)) % ENTRIES;
             let offer = entries[other].state.offer(entries[other].now);
             let peer = entries[other].address;
-            let mut effects = entries[index].pass(EXCHANGE_INTERVAL);
+            let mut effects = entries[index].advance(EXCHANGE_INTERVAL);
             effects.extend(entries[index].send(Event::PeerOffered { peer, offer }));
             for (peer, topic) in fetches(&effects) {
                 let is_peer = |entry: &Process| entry.address == peer;
                 let other = entries.iter().position(is_peer).expect("the peer is an entry");
                 let [entry, other] =
                     entries.get_disjoint_mut([index, other]).expect("two different entries");
-                entry.fetch(other, topic);
+                entry.receive_topic(other, topic);
                 fetched += usize::from(topic == Topic::Crashes);
             }
         }
@@ -177,8 +177,8 @@
     receive_from(&mut other, &mut one);
 
     for _ in 0..1_300 {
-        one.pass(Duration::from_millis(500));
-        other.pass(Duration::from_millis(500));
+        one.advance(Duration::from_millis(500));
+        other.advance(Duration::from_millis(500));
         receive_from(&mut other, &mut one);
         receive_from(&mut one, &mut other);
     }
@@ -190,27 +190,28 @@
 /// Guards against bodies that are refused because a process could not connect to a target that is alive.
 #[test]
 fn a_broken_answer_counts_no_crash_if_its_target_took_a_connection_afterwards() {
-    let mut entry = process(configuration(1, vec![route("/a/", Repeat::Never)], None), targets(4));
+    let mut entry =
+        configured_process(configuration(1, vec![route("/a/", Repeat::Never)], None), targets(4));
     for ticket in 1..=2 {
-        let target = start(&entry.arrive(request_with_body(ticket, 0))).target;
-        entry.end(ticket, Outcome::Incomplete { crashed: true });
+        let target = only_dispatch(&entry.arrive(request_with_body(ticket, 0))).target;
+        entry.end_dispatch(ticket, Outcome::Incomplete { crashed: true });
         entry.send(Event::Probed { target: target.clone(), reached: true });
         // Another request is dispatched to the same target, and the connection fails.
         let mut other = 10 * ticket;
-        while start(&entry.arrive(request(other, "/a/"))).target != target {
+        while only_dispatch(&entry.arrive(request(other, "/a/"))).target != target {
             other += 1;
         }
-        entry.end(other, Outcome::Unreachable);
+        entry.end_dispatch(other, Outcome::Unreachable);
         for ticket in 10 * ticket..=other + 1 {
             entry.send(Event::CallerDisconnected { ticket, events: 0 });
         }
-        entry.pass(Duration::from_millis(500));
+        entry.advance(Duration::from_millis(500));
     }
 
     let effects = entry.arrive(request_with_body(3, 0));
 
     assert!(refusals(&effects).is_empty(), "{effects:?}");
-    assert_eq!(starts(&effects).len(), 1);
+    assert_eq!(dispatches(&effects).len(), 1);
 }
 
 /// Guards against rows that contain every account that ever sent a request, through any process.
@@ -223,7 +224,7 @@
         configuration.accounts.insert(name.as_str().into(), account);
         configuration.keys.insert(format!("key-{number}").as_str().into(), name.as_str().into());
     }
-    let mut entry = process(configuration, targets(4));
+    let mut entry = configured_process(configuration, targets(4));
     let row_size = |entry: &mut Process| {
         let row = entry.state.next_row(entry.now.steady);
         serde_json::to_vec(&row).expect("a row can be packed").len()
@@ -232,13 +233,13 @@
 
     for ticket in 0..500 {
         entry.arrive(Request { api_key: Some(format!("key-{ticket}")), ..request(ticket, "/a/") });
-        entry.end(ticket, Outcome::Completed);
-        entry.confirm();
+        entry.end_dispatch(ticket, Outcome::Completed);
+        entry.confirm_configuration();
     }
     // In this time the buckets of all accounts fill up again.
     for _ in 0..600 {
-        entry.pass(Duration::from_secs(1));
-        entry.confirm();
+        entry.advance(Duration::from_secs(1));
+        entry.confirm_configuration();
     }
     let after = row_size(&mut entry);
 
--- a/components/scheduler/tests/direct_eras.rs
+++ b/components/scheduler/tests/direct_eras.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    FRESHNESS, Process, address, configuration, process, refusal, request, route, settings, starts,
-    target, targets,
+    MAX_CONFIGURATION_AGE, Process, address, configuration, configured_process, dispatches,
+    only_refusal, request, route, settings, target, targets,
 };
 use scheduler::direct::{self, Event, RefusalReason, Target, plan::Repeat};
 
@@ -20,7 +20,10 @@
 
 /// Returns a process with a configuration of this version and two targets.
 fn serving_process(version: u64) -> Process {
-    process(configuration(version, vec![route("/a/", Repeat::Idempotent)], None), targets(2))
+    configured_process(
+        configuration(version, vec![route("/a/", Repeat::Idempotent)], None),
+        targets(2),
+    )
 }
 
 /// Restores the platform from a backup whose newest configuration has this version.
@@ -37,8 +40,8 @@
 
 /// Sends a request to the process; returns the targets to which waiting requests were dispatched.
 fn dispatched(process: &mut Process, ticket: u64) -> Vec<String> {
-    let dispatches = starts(&process.arrive(request(ticket, "/a/")));
-    dispatches.into_iter().map(|start| start.target).collect()
+    let dispatches = dispatches(&process.arrive(request(ticket, "/a/")));
+    dispatches.into_iter().map(|dispatch| dispatch.target).collect()
 }
 
 #[test]
@@ -47,11 +50,11 @@
 
     for _ in 0..5 {
         restore_backup(&mut process, 6);
-        process.pass(FRESHNESS / 4);
+        process.advance(MAX_CONFIGURATION_AGE / 4);
         confirm(&mut process, 6);
     }
 
-    let refused = refusal(&process.arrive(request(1, "/a/")));
+    let refused = only_refusal(&process.arrive(request(1, "/a/")));
     assert_eq!(refused.reason, RefusalReason::NotReady);
     assert_eq!(process.state.known().plan, 7);
 }
@@ -62,7 +65,7 @@
     restore_backup(&mut process, 6);
 
     for _ in 0..5 {
-        process.pass(AFTER_REWRITE);
+        process.advance(AFTER_REWRITE);
         confirm(&mut process, 7);
     }
 
@@ -74,10 +77,10 @@
     let mut process = serving_process(7);
     restore_backup(&mut process, 7);
 
-    process.list(Vec::new());
+    process.list_targets(Vec::new());
 
     assert_eq!(dispatched(&mut process, 1).len(), 1);
-    process.pass(AFTER_RELISTING);
+    process.advance(AFTER_RELISTING);
     confirm(&mut process, 7);
     assert_eq!(dispatched(&mut process, 2).len(), 0);
 }
@@ -85,12 +88,12 @@
 #[test]
 fn a_target_that_had_left_is_not_used_again_when_a_backup_lists_it() {
     let mut process = serving_process(7);
-    process.list(vec![target(1)]);
+    process.list_targets(vec![target(1)]);
     restore_backup(&mut process, 7);
 
-    process.list(targets(2));
+    process.list_targets(targets(2));
 
-    process.pass(AFTER_RELISTING);
+    process.advance(AFTER_RELISTING);
     confirm(&mut process, 7);
     let used: Vec<String> = (0..4).flat_map(|ticket| dispatched(&mut process, ticket)).collect();
     assert_eq!(used, ["target-1", "target-1"]);
@@ -99,10 +102,10 @@
 #[test]
 fn a_draining_target_gets_no_requests_when_a_backup_lists_it_as_ready() {
     let mut process = serving_process(7);
-    process.list(vec![Target { is_ready: false, ..target(0) }, target(1)]);
+    process.list_targets(vec![Target { is_ready: false, ..target(0) }, target(1)]);
     restore_backup(&mut process, 7);
 
-    process.list(targets(2));
+    process.list_targets(targets(2));
 
     let used: Vec<String> = (0..4).flat_map(|ticket| dispatched(&mut process, ticket)).collect();
     assert_eq!(used, ["target-1", "target-1"]);
@@ -111,12 +114,12 @@
 #[test]
 fn a_target_that_had_left_is_used_after_a_restart() {
     let mut process = serving_process(7);
-    process.list(vec![target(1)]);
+    process.list_targets(vec![target(1)]);
     restore_backup(&mut process, 7);
 
-    process.list(vec![Target { incarnation: 2, ..target(0) }]);
+    process.list_targets(vec![Target { incarnation: 2, ..target(0) }]);
 
-    process.pass(AFTER_RELISTING);
+    process.advance(AFTER_RELISTING);
     assert_eq!(dispatched(&mut process, 1), ["target-0"]);
 }
 
@@ -124,11 +127,11 @@
 fn a_list_of_a_newer_era_replaces_one_with_a_higher_offset() {
     let mut process = serving_process(7);
     for _ in 0..5 {
-        process.list(targets(2));
+        process.list_targets(targets(2));
     }
     process.era += 1;
 
-    process.list(vec![Target { is_ready: false, ..target(0) }, target(1)]);
+    process.list_targets(vec![Target { is_ready: false, ..target(0) }, target(1)]);
 
     let used: Vec<String> = (0..4).flat_map(|ticket| dispatched(&mut process, ticket)).collect();
     assert_eq!(used, ["target-1", "target-1"]);
@@ -142,7 +145,7 @@
     process.send(Event::ConfigurationRead(
         configuration(6, vec![route("/a/", Repeat::Idempotent)], None).into(),
     ));
-    process.list(targets(2));
+    process.list_targets(targets(2));
     confirm(&mut process, 6);
     process
 }
@@ -151,14 +154,14 @@
 fn a_process_that_starts_on_a_backup_refuses_keys_until_a_peer_made_an_offer() {
     let other = serving_process(7);
     let mut process = process_started_in_second_era(&other);
-    assert_eq!(refusal(&process.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
+    assert_eq!(only_refusal(&process.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
 
-    process.ask(&other);
+    process.sync_from(&other);
     confirm(&mut process, 6);
 
     // The process has the peer's newer configuration now, which the backup doesn't confirm.
     assert_eq!(process.state.known().plan, 7);
-    assert_eq!(refusal(&process.arrive(request(2, "/a/"))).reason, RefusalReason::NotReady);
+    assert_eq!(only_refusal(&process.arrive(request(2, "/a/"))).reason, RefusalReason::NotReady);
     confirm(&mut process, 7);
     assert_eq!(dispatched(&mut process, 3).len(), 1);
 }
@@ -167,7 +170,7 @@
 fn a_process_that_starts_on_a_backup_without_peers_relies_on_it_after_a_while() {
     let mut process = process_started_in_second_era(&serving_process(7));
 
-    process.pass(Duration::from_millis(1_600));
+    process.advance(Duration::from_millis(1_600));
     confirm(&mut process, 6);
 
     assert_eq!(dispatched(&mut process, 1).len(), 1);
--- a/components/scheduler/tests/direct_fuzz.rs
+++ b/components/scheduler/tests/direct_fuzz.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use direct_support::{Process, configuration, limit, process, request, route, targets};
+use direct_support::{Process, configuration, configured_process, limit, request, route, targets};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
@@ -104,25 +104,26 @@
     fn check(&mut self, effects: &[Effect]) {
         for effect in effects {
             match effect {
-                Effect::Dispatch(start) => {
+                Effect::Dispatch(dispatch) => {
                     assert!(
-                        self.listed.contains(&start.target),
+                        self.listed.contains(&dispatch.target),
                         "target isn't listed: {}",
-                        start.target
+                        dispatch.target
                     );
                     let running_at =
                         self.requests.values().filter_map(|request| request.running_at.as_ref());
-                    let used_slots = running_at.filter(|target| **target == start.target).count();
-                    assert!(used_slots < SLOTS_PER_TARGET, "{} has no free slot", start.target);
+                    let used_slots =
+                        running_at.filter(|target| **target == dispatch.target).count();
+                    assert!(used_slots < SLOTS_PER_TARGET, "{} has no free slot", dispatch.target);
                     let request =
-                        self.requests.get_mut(&start.ticket).expect("the request has arrived");
+                        self.requests.get_mut(&dispatch.ticket).expect("the request has arrived");
                     assert!(!request.has_ended && request.running_at.is_none(), "{request:?}");
                     assert!(request.possible_runs < MAX_RUNS, "{request:?}");
                     assert!(
                         request.retry_policy != Repeat::Never || request.possible_runs == 0,
                         "{request:?}"
                     );
-                    request.running_at = Some(start.target.clone());
+                    request.running_at = Some(dispatch.target.clone());
                 }
                 Effect::Refuse { ticket, refusal, .. } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
@@ -167,7 +168,7 @@
     fn list(&mut self, process: &mut Process, count: u16) -> Vec<Effect> {
         let listed = targets(count);
         self.listed = listed.iter().map(|target| target.name.clone()).collect();
-        process.list(listed)
+        process.list_targets(listed)
     }
 }
 
@@ -185,7 +186,7 @@
     let policies = [Repeat::Idempotent, Repeat::Resumable, Repeat::Never];
     let routes = policies.map(|policy| route(path(policy), policy)).to_vec();
     let mut process =
-        process(configuration(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
+        configured_process(configuration(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
     let mut oracle = Oracle::default();
     oracle.list(&mut process, TARGET_COUNT);
     for (ticket, step) in (0..).zip(steps) {
@@ -246,20 +247,20 @@
                 request.has_ended = true;
                 process.send(Event::CallerDisconnected { ticket, events: 0 })
             }
-            Step::PassMs(ms) => process.pass(Duration::from_millis(ms.into())),
-            Step::Confirm => process.confirm(),
+            Step::PassMs(ms) => process.advance(Duration::from_millis(ms.into())),
+            Step::Confirm => process.confirm_configuration(),
             Step::List(count) => {
                 // The process keeps using targets that vanish from the list while an outage of the platform
                 // has just ended; 2.5 s later, it doesn't.
-                oracle.check(&process.confirm());
-                oracle.check(&process.pass(Duration::from_millis(2_500)));
-                oracle.check(&process.confirm());
+                oracle.check(&process.confirm_configuration());
+                oracle.check(&process.advance(Duration::from_millis(2_500)));
+                oracle.check(&process.confirm_configuration());
                 oracle.list(&mut process, count)
             }
         };
         oracle.check(&effects);
     }
-    let effects = process.pass(Duration::from_secs(10));
+    let effects = process.advance(Duration::from_secs(10));
     oracle.check(&effects);
     let accounted_for = oracle
         .requests
--- a/components/scheduler/tests/direct_holds.rs
+++ b/components/scheduler/tests/direct_holds.rs
@@ -8,7 +8,9 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, configuration, process, request, route, starts, target};
+use direct_support::{
+    Process, configuration, configured_process, dispatches, request, route, target,
+};
 use scheduler::direct::{Outcome, plan::Repeat};
 use test_case::test_case;
 
@@ -19,16 +21,19 @@
 fn two_tiers() -> Process {
     let mut low = route("/low/", Repeat::Resumable);
     low.rank = 1;
-    process(configuration(1, vec![route("/high/", Repeat::Resumable), low], None), vec![target(1)])
+    configured_process(
+        configuration(1, vec![route("/high/", Repeat::Resumable), low], None),
+        vec![target(1)],
+    )
 }
 
 /// Serves requests of a tier that each hold their slot for `held`, with tickets from `first_ticket` on.
 fn serve(process: &mut Process, first_ticket: u64, path: &str, held: Duration) {
     for ticket in first_ticket..first_ticket + OBSERVED_REQUESTS {
         process.arrive(request(ticket, path));
-        process.pass(held);
-        process.end(ticket, Outcome::Completed);
-        process.confirm();
+        process.advance(held);
+        process.end_dispatch(ticket, Outcome::Completed);
+        process.confirm_configuration();
     }
 }
 
@@ -39,8 +44,9 @@
     serve(&mut process, 100, "/high/", Duration::from_millis(high_ms));
     serve(&mut process, 200, "/low/", Duration::from_millis(low_ms));
 
-    let low = (1..=3).map(|ticket| starts(&process.arrive(request(ticket, "/low/"))).len()).sum();
-    let high = starts(&process.arrive(request(4, "/high/"))).len();
+    let low =
+        (1..=3).map(|ticket| dispatches(&process.arrive(request(ticket, "/low/"))).len()).sum();
+    let high = dispatches(&process.arrive(request(4, "/high/"))).len();
 
     (low, high)
 }
@@ -49,7 +55,7 @@
 fn no_slot_is_withheld_before_the_times_of_the_tiers_are_known() {
     let mut process = two_tiers();
 
-    let low = (1..=2).map(|ticket| starts(&process.arrive(request(ticket, "/low/"))).len());
+    let low = (1..=2).map(|ticket| dispatches(&process.arrive(request(ticket, "/low/"))).len());
 
     assert_eq!(low.sum::<usize>(), 2);
 }
@@ -65,7 +71,10 @@
     process.arrive(request(3, "/low/"));
     process.arrive(request(4, "/high/"));
 
-    let effects = process.end(1, Outcome::Completed);
+    let effects = process.end_dispatch(1, Outcome::Completed);
 
-    assert_eq!(starts(&effects).iter().map(|start| start.ticket).collect::<Vec<_>>(), [4]);
+    assert_eq!(
+        dispatches(&effects).iter().map(|dispatch| dispatch.ticket).collect::<Vec<_>>(),
+        [4]
+    );
 }
--- a/components/scheduler/tests/direct_lengths.rs
+++ b/components/scheduler/tests/direct_lengths.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, address, configuration, expecting, process, reservations, route, start, starts, target,
+    Process, address, configuration, configured_process, dispatches, only_dispatch,
+    request_expecting, reservations, route, target,
 };
 use model::reservation::Load;
 use scheduler::direct::{Effect, Event, Outcome, Request, Reservation, Target, plan::Repeat};
@@ -48,17 +49,20 @@
     let numbers = (0..TARGET_COUNT).filter(|number| !slow_only || !number.is_multiple_of(3));
     let agent = |number| Some(address(2_000 + number));
     let targets = numbers.map(|number| Target { agent_address: agent(number), ..target(number) });
-    process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), targets.collect())
+    configured_process(
+        configuration(1, vec![route("/a/", Repeat::Resumable)], None),
+        targets.collect(),
+    )
 }
 
 /// An entry process that received the speed of its targets with the grants of earlier requests.
 fn process_with_speeds(slow_only: bool) -> Process {
     let mut process = process_without_speeds(slow_only);
     for ticket in 1_000..1_400 {
-        let reserved = reservations(&process.arrive(expecting(ticket, SHORT_TOKENS)));
+        let reserved = reservations(&process.arrive(request_expecting(ticket, SHORT_TOKENS)));
         let last = reserved.last().expect("the request is reserved");
         grant(&mut process, last, step(&last.target));
-        process.end(ticket, Outcome::Completed);
+        process.end_dispatch(ticket, Outcome::Completed);
     }
     process
 }
@@ -68,7 +72,7 @@
     let mut process = process_with_speeds(false);
 
     let reserved: Vec<Reservation> = (0..20)
-        .flat_map(|ticket| reservations(&process.arrive(expecting(ticket, LONG_TOKENS))))
+        .flat_map(|ticket| reservations(&process.arrive(request_expecting(ticket, LONG_TOKENS))))
         .collect();
 
     assert!(reserved.iter().all(|reserved| is_fast(&reserved.target)));
@@ -81,7 +85,8 @@
 
     let reserved: Vec<Reservation> = (0..40)
         .flat_map(|ticket| {
-            let request = Request { expected_tokens: expected, ..expecting(ticket, SHORT_TOKENS) };
+            let request =
+                Request { expected_tokens: expected, ..request_expecting(ticket, SHORT_TOKENS) };
             reservations(&process.arrive(request))
         })
         .collect();
@@ -93,25 +98,27 @@
 fn a_long_answer_that_ends_in_time_nowhere_is_reserved_at_the_fastest_targets() {
     let mut process = process_with_speeds(true);
 
-    assert!(!reservations(&process.arrive(expecting(1, 10 * LONG_TOKENS))).is_empty());
+    assert!(!reservations(&process.arrive(request_expecting(1, 10 * LONG_TOKENS))).is_empty());
 }
 
 #[test]
 fn a_grant_of_a_target_that_is_too_slow_is_withdrawn_and_another_target_is_reserved() {
     let agent = |number| Some(address(2_000 + number));
     let two = (0..2).map(|number| Target { agent_address: agent(number), ..target(number) });
-    let mut process =
-        process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), two.collect());
-    let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
+    let mut process = configured_process(
+        configuration(1, vec![route("/a/", Repeat::Resumable)], None),
+        two.collect(),
+    );
+    let reserved = reservations(&process.arrive(request_expecting(1, SHORT_TOKENS)));
     let fast = reserved.iter().find(|reserved| is_fast(&reserved.target));
     grant(&mut process, fast.expect("the request is reserved at both targets"), FAST_STEP);
-    let reserved = reservations(&process.arrive(expecting(100, LONG_TOKENS)));
+    let reserved = reservations(&process.arrive(request_expecting(100, LONG_TOKENS)));
     let slow = reserved.into_iter().find(|reserved| !is_fast(&reserved.target));
     let slow = slow.expect("a target of unknown speed is reserved");
 
     let effects = grant(&mut process, &slow, SLOW_STEP);
 
-    assert!(starts(&effects).is_empty());
+    assert!(dispatches(&effects).is_empty());
     let is_withdrawn = |effect: &Effect| matches!(effect, Effect::WithdrawReservation { ticket: 100, number } if *number == slow.number);
     assert!(effects.iter().any(is_withdrawn));
     assert!(reservations(&effects).iter().all(|reserved| reserved.target != slow.target));
@@ -121,20 +128,20 @@
 fn a_reservation_states_the_length_that_the_caller_expects() {
     let mut process = process_without_speeds(false);
 
-    let reserved = reservations(&process.arrive(expecting(1, SHORT_TOKENS)));
+    let reserved = reservations(&process.arrive(request_expecting(1, SHORT_TOKENS)));
 
     assert_eq!((reserved[0].tokens.prompt, reserved[0].tokens.max_output), (100, SHORT_TOKENS));
     let effects = grant(&mut process, &reserved[0], FAST_STEP);
-    assert_eq!(start(&effects).ticket, 1);
+    assert_eq!(only_dispatch(&effects).ticket, 1);
 }
 
 #[test_case(LONG_TOKENS, 4; "of a long answer")]
 #[test_case(SHORT_TOKENS, 12; "of a short answer")]
 fn a_refusal_states_the_number_of_targets_that_fit(expected: u32, fitting: u32) {
     let mut process = process_with_speeds(false);
-    process.arrive(expecting(1, expected));
+    process.arrive(request_expecting(1, expected));
 
-    let effects = process.pass(Duration::from_secs(2));
+    let effects = process.advance(Duration::from_secs(2));
 
     let context = effects.iter().find_map(|effect| match effect {
         Effect::Refuse { context, .. } => Some(context),
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -10,8 +10,8 @@
 };
 
 use direct_support::{
-    GONE, Process, WINDOW, address, blank, configuration, limit, refusals, request, route,
-    settings, starts, targets,
+    PEER_TIMEOUT, Process, TOLERANCE_WINDOW, address, configuration, dispatches, empty_process,
+    limit, refusals, request, route, settings, targets,
 };
 use proptest::{
     prelude::*,
@@ -30,7 +30,7 @@
 const STEP: Duration = Duration::from_millis(25);
 /// Limit of the account in units a second; also its burst in units.
 const RATE: f64 = 10_000.0;
-const TOLERANCE: Tolerance = Tolerance { ratio: 0.1, slack: 12_000.0, window: WINDOW };
+const TOLERANCE: Tolerance = Tolerance { ratio: 0.1, slack: 12_000.0, window: TOLERANCE_WINDOW };
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -110,12 +110,12 @@
     let mut process = Process { state: direct::open(now.steady, settings), now, address, era: 1 };
     let configuration = configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(RATE)));
     process.send(Event::ConfigurationRead(Arc::new(configuration)));
-    process.list(targets(60));
+    process.list_targets(targets(60));
     process
 }
 
 fn fleet() -> Fleet {
-    let now = blank(0).now;
+    let now = empty_process(0).now;
     let processes =
         (0..PROCESSES).map(|number| start_process(number, u64::from(number), now)).collect();
     Fleet {
@@ -185,7 +185,7 @@
         let registered: Vec<Registration> = reaching.map(registration).collect();
         for number in 0..PROCESSES {
             if self.reaches_platform(number) {
-                self.run(number, |process| process.confirm());
+                self.run(number, |process| process.confirm_configuration());
                 self.run(number, |process| {
                     process.send(Event::PeersDiscovered(registered.clone()))
                 });
@@ -215,7 +215,7 @@
     fn fetch(&mut self, receiver: u16, sender: u16) {
         let sender = &self.processes[usize::from(sender)];
         let sender = Process { state: sender.state.clone(), ..*sender };
-        self.run(receiver, |process| process.ask(&sender));
+        self.run(receiver, |process| process.sync_from(&sender));
     }
 
     /// Sends a request, which ends as soon as it is dispatched, to a process.
@@ -234,10 +234,10 @@
             let process = &mut self.processes[usize::from(number)];
             let now = process.now.steady;
             let mut next = Vec::new();
-            for start in starts(&effects) {
-                next.extend(process.end(start.ticket, Outcome::Completed));
+            for dispatch in dispatches(&effects) {
+                next.extend(process.end_dispatch(dispatch.ticket, Outcome::Completed));
                 let prompt =
-                    self.waiting.remove(&(number, start.ticket)).expect("the request was sent");
+                    self.waiting.remove(&(number, dispatch.ticket)).expect("the request was sent");
                 *self.served.entry(prompt).or_default() += 1;
                 self.dispatched.push_back((now, f64::from(prompt)));
             }
@@ -248,7 +248,7 @@
 
     fn measure(&mut self) {
         let now = self.processes[0].now.steady;
-        while self.dispatched.front().is_some_and(|(at, _)| now - *at > WINDOW) {
+        while self.dispatched.front().is_some_and(|(at, _)| now - *at > TOLERANCE_WINDOW) {
             self.dispatched.pop_front();
         }
         let sum = self.dispatched.iter().map(|(_, units)| units).sum();
@@ -267,7 +267,7 @@
     /// Lets the time of one step pass.
     fn pass(&mut self) {
         for number in 0..PROCESSES {
-            self.run(number, |process| process.pass(STEP));
+            self.run(number, |process| process.advance(STEP));
         }
     }
 
@@ -289,7 +289,7 @@
 
 /// Returns the most units that may be dispatched within a window.
 fn allowed_units() -> f64 {
-    let limit = RATE * WINDOW.as_secs_f64() + RATE;
+    let limit = RATE * TOLERANCE_WINDOW.as_secs_f64() + RATE;
     limit * (1.0 + TOLERANCE.ratio) + TOLERANCE.slack
 }
 
@@ -337,7 +337,8 @@
         fleet.send_request(2, 190);
     }
 
-    let window = usize::try_from(WINDOW.as_millis() / STEP.as_millis()).expect("a small number");
+    let window =
+        usize::try_from(TOLERANCE_WINDOW.as_millis() / STEP.as_millis()).expect("a small number");
     assert!(before > 0);
     assert!(fleet.dispatched.len() >= window, "{} of {window}", fleet.dispatched.len());
 }
@@ -396,7 +397,7 @@
     fleet.inject(Fault::CutPair(0, 1));
     fleet.inject(Fault::CutPair(0, 2));
     fleet.inject(Fault::CutPair(0, 3));
-    let steps = (GONE * 3).as_millis() / STEP.as_millis();
+    let steps = (PEER_TIMEOUT * 3).as_millis() / STEP.as_millis();
 
     for step in 0..u64::try_from(steps).expect("a small number") {
         fleet.overload(step, 0);
@@ -535,16 +536,16 @@
         vec![route("/a/", Repeat::Idempotent), no_targets],
         Some(limit(RATE)),
     ));
-    let mut processes = [1, 2].map(blank);
+    let mut processes = [1, 2].map(empty_process);
     for process in &mut processes {
         process.send(Event::ConfigurationRead(Arc::clone(&configuration)));
-        process.confirm();
-        process.list(targets(60));
+        process.confirm_configuration();
+        process.list_targets(targets(60));
     }
     let pass = |processes: &mut [Process; 2], time: Duration| {
         let rows = processes.each_mut().map(|process| {
-            process.pass(time);
-            process.confirm();
+            process.advance(time);
+            process.confirm_configuration();
             process.state.next_row(process.now.steady)
         });
         let [first, second] = processes;
@@ -570,7 +571,7 @@
     let effects =
         (200..220).flat_map(|ticket| processes[1].arrive(request_with_tokens(ticket, "/a/", 190)));
 
-    assert_eq!(starts(&effects.collect::<Vec<Effect>>()).len(), 20);
+    assert_eq!(dispatches(&effects.collect::<Vec<Effect>>()).len(), 20);
 }
 
 /// Guards against requests that wait for units for most of their time and are refused when it is too late
@@ -581,7 +582,7 @@
     // waits for units: the time that the units of two requests take.
     let configuration =
         configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(1_000.0)));
-    let mut process = direct_support::process(configuration, targets(99));
+    let mut process = direct_support::configured_process(configuration, targets(99));
     let request = |ticket| {
         let tokens = Some(Tokens { prompt: 100, max_output: 0 });
         direct::Request { tokens, ..direct_support::request(ticket, "/a/") }
@@ -589,7 +590,7 @@
 
     let effects: Vec<Effect> = (0..40).flat_map(|ticket| process.arrive(request(ticket))).collect();
 
-    let (started, refused) = (starts(&effects).len(), refusals(&effects));
+    let (started, refused) = (dispatches(&effects).len(), refusals(&effects));
     assert_eq!(started + 2 + refused.len(), 40);
     let wait = refused[0].1.retry_after.expect("the refusal states a retry time");
     assert!(wait > Duration::from_millis(240) && wait <= Duration::from_millis(340), "{wait:?}");
--- a/components/scheduler/tests/direct_paces.rs
+++ b/components/scheduler/tests/direct_paces.rs
@@ -11,7 +11,8 @@
 };
 
 use direct_support::{
-    Process, address, configuration, expecting, process, reservations, route, target,
+    Process, address, configuration, configured_process, request_expecting, reservations, route,
+    target,
 };
 use model::reservation::{Ask, Id, Load};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -115,14 +116,14 @@
         .map(|n| Target { agent_address: Some(address(2_000 + n)), ..target(n) })
         .collect();
     let mut process =
-        process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), targets);
+        configured_process(configuration(1, vec![route("/a/", Repeat::Resumable)], None), targets);
     let mut reported = BTreeSet::new();
     for ticket in 10_000..10_000 + 70 * loads.len() as Ticket {
-        let reserved = reservations(&process.arrive(expecting(ticket, 1)));
+        let reserved = reservations(&process.arrive(request_expecting(ticket, 1)));
         let last = reserved.last().expect("the request is reserved");
         let load = loads[usize::from(target_number(last))];
         process.send(Event::Granted { ticket, number: last.number, load });
-        process.end(ticket, Outcome::Completed);
+        process.end_dispatch(ticket, Outcome::Completed);
         reported.insert(target_number(last));
     }
     assert_eq!(reported.len(), loads.len(), "each agent has reported its load");
@@ -138,7 +139,7 @@
 fn reserved_targets(loads: &[Load], tokens: u32) -> (BTreeSet<u16>, BTreeSet<u16>) {
     let mut process = process_with_loads(loads);
     let reserved = (0..1_000)
-        .flat_map(|ticket| reservations(&process.arrive(expecting(ticket, tokens))))
+        .flat_map(|ticket| reservations(&process.arrive(request_expecting(ticket, tokens))))
         .map(|reserved| target_number(&reserved));
     reserved.partition(|&number| is_fast(number))
 }
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, blank};
+use direct_support::{Process, empty_process};
 use scheduler::direct::{Event, peers, peers::Row};
 use test_case::test_case;
 
@@ -19,7 +19,7 @@
 
 /// Returns idle processes that have current rows of each other.
 fn processes(count: u16) -> Vec<Process> {
-    let mut processes: Vec<Process> = (1..=count).map(blank).collect();
+    let mut processes: Vec<Process> = (1..=count).map(empty_process).collect();
     // A row lists only processes whose rows had arrived before, so it takes two rounds.
     for _ in 0..2 {
         let rows: Vec<Row> =
--- a/components/scheduler/tests/direct_plain.rs
+++ b/components/scheduler/tests/direct_plain.rs
@@ -15,7 +15,7 @@
 };
 
 use direct_support::{
-    Process, address, blank, configuration, refusals, request, route, starts, target,
+    Process, address, configuration, dispatches, empty_process, refusals, request, route, target,
 };
 use model::reservation::{Ask, Id};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -117,13 +117,13 @@
 
 /// Returns an entry process with a configuration, the plain targets and `other_targets`.
 fn entry(number: usize, other_targets: &[Target]) -> Process {
-    let mut entry = blank(number as u16 + 1);
+    let mut entry = empty_process(number as u16 + 1);
     let mut call = route("/call/", Repeat::Never);
     call.target_latency = Duration::from_millis(ON_TIME_MS);
     call.timeout = Duration::from_millis(800);
     entry.send(Event::ConfigurationRead(configuration(1, vec![call], None).into()));
-    entry.confirm();
-    entry.list([&plain_targets()[..], other_targets].concat());
+    entry.confirm_configuration();
+    entry.list_targets([&plain_targets()[..], other_targets].concat());
     entry
 }
 
@@ -169,9 +169,9 @@
         for (ticket, _) in refusals(&effects) {
             self.arrival_ms.remove(&ticket);
         }
-        for start in starts(&effects) {
-            let target = usize::from(start.address.port() - 1_000);
-            let arrived = Scheduled::Arrived(target, (index, start.ticket));
+        for dispatch in dispatches(&effects) {
+            let target = usize::from(dispatch.address.port() - 1_000);
+            let arrived = Scheduled::Arrived(target, (index, dispatch.ticket));
             self.schedule(ONE_WAY_DELAY_MS, arrived);
         }
     }
@@ -299,7 +299,7 @@
 
     /// Sends the row of an entry process to all others.
     fn broadcast_row(&mut self, from: usize) {
-        self.entries[from].confirm();
+        self.entries[from].confirm_configuration();
         let now = self.entries[from].now.steady;
         let row = self.entries[from].state.next_row(now);
         for to in (0..ENTRY_COUNT).filter(|&to| to != from) {
--- a/components/scheduler/tests/direct_relay.rs
+++ b/components/scheduler/tests/direct_relay.rs
@@ -6,8 +6,8 @@
 use std::{sync::Arc, time::Duration};
 
 use direct_support::{
-    Process, blank, configuration, fetches, process, refusal, request, route, starts, target,
-    targets,
+    Process, configuration, configured_process, dispatches, empty_process, fetches, only_refusal,
+    request, route, target, targets,
 };
 use scheduler::direct::{
     Effect, Event, LogEntry, RefusalReason,
@@ -44,15 +44,15 @@
 /// Returns a process that read the configuration and two targets from the platform, and one that got
 /// nothing yet.
 fn pair() -> (Process, Process) {
-    let reader = process(routes(7), targets(2));
-    let mut other = blank(2);
+    let reader = configured_process(routes(7), targets(2));
+    let mut other = empty_process(2);
     other.now = reader.now;
     (reader, other)
 }
 
 /// Returns a process that has only a configuration, with the clock of `other`.
 fn with_plan(number: u16, other: &Process, version: u64) -> Process {
-    let mut process = Process { now: other.now, ..blank(number) };
+    let mut process = Process { now: other.now, ..empty_process(number) };
     process.send(Event::ConfigurationRead(Arc::new(routes(version))));
     process
 }
@@ -62,10 +62,10 @@
 fn a_process_that_cannot_reach_the_platform_gets_the_configuration_from_a_peer() {
     let (reader, mut other) = pair();
 
-    other.ask(&reader);
+    other.sync_from(&reader);
 
     assert_eq!(other.state.known().plan, 7);
-    assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
+    assert_eq!(dispatches(&other.arrive(request(1, "/open/"))).len(), 1);
 }
 
 /// Guards against data that a process fetches back from the peer to which it relayed it.
@@ -73,11 +73,11 @@
 fn only_the_process_that_is_behind_fetches_data() {
     let (mut reader, mut other) = pair();
 
-    let (fetched, _) = other.hear_offer(&reader);
+    let (fetched, _) = other.receive_offer(&reader);
     for &topic in &fetched {
-        other.fetch(&reader, topic);
+        other.receive_topic(&reader, topic);
     }
-    let (fetched_back, _) = reader.hear_offer(&other);
+    let (fetched_back, _) = reader.receive_offer(&other);
 
     assert_eq!(fetched, [Topic::Targets, Topic::Plan]);
     assert!(fetched_back.is_empty());
@@ -92,7 +92,7 @@
     ahead.extend((3..28).map(|number| with_plan(number, &other, 7)));
 
     let fetched: Vec<Topic> =
-        ahead.iter().flat_map(|process| other.hear_offer(process).0).collect();
+        ahead.iter().flat_map(|process| other.receive_offer(process).0).collect();
 
     assert_eq!(fetched, [Topic::Targets, Topic::Plan]);
 }
@@ -102,8 +102,8 @@
 fn after_a_failed_fetch_another_peer_is_asked() {
     let (first, mut other) = pair();
     let second = with_plan(3, &other, 7);
-    other.hear_offer(&first);
-    other.hear_offer(&second);
+    other.receive_offer(&first);
+    other.receive_offer(&second);
 
     let failed = Event::Fetched { peer: first.address, topic: Topic::Plan, data: None };
     let effects = other.send(failed);
@@ -117,11 +117,11 @@
     let (older, mut other) = pair();
     let newer = with_plan(3, &other, 9);
     let oldest = with_plan(4, &other, 6);
-    other.hear_offer(&older);
-    other.hear_offer(&newer);
-    other.hear_offer(&oldest);
+    other.receive_offer(&older);
+    other.receive_offer(&newer);
+    other.receive_offer(&oldest);
 
-    let effects = other.fetch(&older, Topic::Plan);
+    let effects = other.receive_topic(&older, Topic::Plan);
 
     assert_eq!(fetches(&effects), [(newer.address, Topic::Plan)]);
 }
@@ -131,51 +131,51 @@
 fn requests_with_a_key_are_served_only_after_the_process_itself_reached_the_platform() {
     let (reader, mut other) = pair();
 
-    other.ask(&reader);
+    other.sync_from(&reader);
 
     assert!(!other.state.is_ready());
-    assert_eq!(refusal(&other.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
-    other.confirm();
-    assert_eq!(starts(&other.arrive(request(2, "/a/"))).len(), 1);
+    assert_eq!(only_refusal(&other.arrive(request(1, "/a/"))).reason, RefusalReason::NotReady);
+    other.confirm_configuration();
+    assert_eq!(dispatches(&other.arrive(request(2, "/a/"))).len(), 1);
 }
 
 /// Guards against requests to targets that left while only this process was cut off from the platform.
 #[test]
 fn a_target_that_a_peer_saw_leave_is_dropped_at_once() {
     let (mut reader, mut other) = pair();
-    other.ask(&reader);
-    other.confirm();
-    other.pass(SHORT_OUTAGE);
+    other.sync_from(&reader);
+    other.confirm_configuration();
+    other.advance(SHORT_OUTAGE);
     for _ in 0..2 {
-        reader.pass(SHORT_OUTAGE / 2);
-        reader.confirm();
+        reader.advance(SHORT_OUTAGE / 2);
+        reader.confirm_configuration();
     }
-    reader.list(Vec::new());
+    reader.list_targets(Vec::new());
 
-    other.ask(&reader);
+    other.sync_from(&reader);
 
-    assert!(starts(&other.arrive(request(1, "/open/"))).is_empty());
+    assert!(dispatches(&other.arrive(request(1, "/open/"))).is_empty());
     // The target stays unused once this process reaches the platform again.
-    other.confirm();
-    other.list(Vec::new());
-    assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
+    other.confirm_configuration();
+    other.list_targets(Vec::new());
+    assert!(dispatches(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
 /// Guards against a list without living targets that spreads: just after an outage they may be missing.
 #[test]
 fn a_list_that_was_read_just_after_an_outage_is_not_relayed() {
     let (mut reader, mut other) = pair();
-    other.ask(&reader);
-    reader.pass(SHORT_OUTAGE);
-    reader.confirm();
-    reader.list(Vec::new());
+    other.sync_from(&reader);
+    reader.advance(SHORT_OUTAGE);
+    reader.confirm_configuration();
+    reader.list_targets(Vec::new());
 
-    other.ask(&reader);
-    assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
+    other.sync_from(&reader);
+    assert_eq!(dispatches(&other.arrive(request(1, "/open/"))).len(), 1);
 
-    reader.pass(RELIST_END);
-    other.ask(&reader);
-    assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
+    reader.advance(RELIST_END);
+    other.sync_from(&reader);
+    assert!(dispatches(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
 /// Guards against a step back to an older configuration or an older list of targets.
@@ -183,15 +183,15 @@
 fn data_that_is_older_than_the_known_data_is_not_used() {
     let (reader, mut other) = pair();
     other.send(Event::ConfigurationRead(Arc::new(routes(8))));
-    other.confirm();
-    other.list(Vec::new());
-    other.list(targets(1));
+    other.confirm_configuration();
+    other.list_targets(Vec::new());
+    other.list_targets(targets(1));
     let known = other.state.known();
 
-    other.ask(&reader);
+    other.sync_from(&reader);
 
     assert_eq!(other.state.known(), known);
-    let started = starts(&other.arrive(request(1, "/a/")));
+    let started = dispatches(&other.arrive(request(1, "/a/")));
     assert_eq!(started[0].target, "target-0");
 }
 
@@ -199,12 +199,12 @@
 #[test]
 fn data_that_was_fetched_is_not_fetched_again() {
     let (reader, mut other) = pair();
-    let (first, _) = other.hear_offer(&reader);
+    let (first, _) = other.receive_offer(&reader);
     for &topic in &first {
-        other.fetch(&reader, topic);
+        other.receive_topic(&reader, topic);
     }
 
-    let (second, _) = other.hear_offer(&reader);
+    let (second, _) = other.receive_offer(&reader);
 
     assert_eq!(first, [Topic::Targets, Topic::Plan]);
     assert!(second.is_empty());
@@ -215,18 +215,18 @@
 #[test]
 fn an_outage_ends_with_the_first_answer() {
     let (mut reader, _) = pair();
-    reader.pass(LONG_OUTAGE);
+    reader.advance(LONG_OUTAGE);
     // The first answer is to a read that began long before.
     let boot = reader.now.boot - SHORT_OUTAGE;
     reader.send(Event::ConfigurationConfirmed { boot, version: 7, era: reader.era });
-    reader.list(Vec::new());
-    reader.pass(RELIST_END / 2);
-    reader.confirm();
-    assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
+    reader.list_targets(Vec::new());
+    reader.advance(RELIST_END / 2);
+    reader.confirm_configuration();
+    assert_eq!(dispatches(&reader.arrive(request(1, "/open/"))).len(), 1);
 
-    reader.pass(RELIST_END / 2);
+    reader.advance(RELIST_END / 2);
 
-    assert!(starts(&reader.arrive(request(2, "/open/"))).is_empty());
+    assert!(dispatches(&reader.arrive(request(2, "/open/"))).is_empty());
 }
 
 /// Guards against requests to targets that left, from a process that takes its own lost connection for an
@@ -234,20 +234,20 @@
 #[test]
 fn no_answers_to_one_process_are_no_outage() {
     let (mut reader, mut other) = pair();
-    other.ask(&reader);
-    other.confirm();
-    reader.pass(LONG_OUTAGE);
-    reader.confirm();
-    reader.pass(RELIST_END);
-    reader.confirm();
-    other.pass(LONG_OUTAGE + RELIST_END);
-    other.confirm();
-    other.list(Vec::new());
-    assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
-
-    other.ask(&reader);
-
-    assert!(starts(&other.arrive(request(2, "/open/"))).is_empty());
+    other.sync_from(&reader);
+    other.confirm_configuration();
+    reader.advance(LONG_OUTAGE);
+    reader.confirm_configuration();
+    reader.advance(RELIST_END);
+    reader.confirm_configuration();
+    other.advance(LONG_OUTAGE + RELIST_END);
+    other.confirm_configuration();
+    other.list_targets(Vec::new());
+    assert_eq!(dispatches(&other.arrive(request(1, "/open/"))).len(), 1);
+
+    other.sync_from(&reader);
+
+    assert!(dispatches(&other.arrive(request(2, "/open/"))).is_empty());
 }
 
 /// Guards against living targets that are dropped after an outage since each process takes the offers of
@@ -255,23 +255,23 @@
 #[test]
 fn no_answers_to_any_process_are_an_outage() {
     let (mut reader, mut other) = pair();
-    other.ask(&reader);
-    other.confirm();
+    other.sync_from(&reader);
+    other.confirm_configuration();
     // Both processes exchange offers while the platform answers neither.
     for _ in 0..20 {
         for process in [&mut reader, &mut other] {
-            process.pass(OUTAGE / 20);
+            process.advance(OUTAGE / 20);
         }
-        other.ask(&reader);
-        reader.ask(&other);
+        other.sync_from(&reader);
+        reader.sync_from(&other);
     }
 
-    other.confirm();
-    other.list(Vec::new());
-    reader.confirm();
-    other.ask(&reader);
+    other.confirm_configuration();
+    other.list_targets(Vec::new());
+    reader.confirm_configuration();
+    other.sync_from(&reader);
 
-    assert_eq!(starts(&other.arrive(request(1, "/open/"))).len(), 1);
+    assert_eq!(dispatches(&other.arrive(request(1, "/open/"))).len(), 1);
 }
 
 /// Guards against requests to a target that left while all processes were cut off from the platform: they
@@ -279,19 +279,19 @@
 #[test]
 fn a_target_that_left_while_all_were_cut_off_gets_no_requests_afterwards() {
     let (mut reader, mut other) = pair();
-    other.ask(&reader);
-    other.confirm();
+    other.sync_from(&reader);
+    other.confirm_configuration();
     for process in [&mut reader, &mut other] {
-        process.pass(LONG_OUTAGE + FIRST_ANSWER_DELAY);
-        process.confirm();
-        process.list(Vec::new());
+        process.advance(LONG_OUTAGE + FIRST_ANSWER_DELAY);
+        process.confirm_configuration();
+        process.list_targets(Vec::new());
     }
-    reader.ask(&other);
-    other.ask(&reader);
+    reader.sync_from(&other);
+    other.sync_from(&reader);
 
-    reader.pass(REACHABLE_TIME - FIRST_ANSWER_DELAY);
+    reader.advance(REACHABLE_TIME - FIRST_ANSWER_DELAY);
 
-    assert!(starts(&reader.arrive(request(1, "/open/"))).is_empty());
+    assert!(dispatches(&reader.arrive(request(1, "/open/"))).is_empty());
 }
 
 /// Guards against living targets that are dropped before the platform had time to list them again. That
@@ -299,13 +299,13 @@
 #[test]
 fn targets_missing_after_an_outage_are_used_until_the_platform_had_time_to_list_them() {
     let (mut reader, _) = pair();
-    reader.pass(OUTAGE);
-    reader.confirm();
-    reader.list(Vec::new());
+    reader.advance(OUTAGE);
+    reader.confirm_configuration();
+    reader.list_targets(Vec::new());
 
-    reader.pass(RELIST_TIME);
+    reader.advance(RELIST_TIME);
 
-    assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
+    assert_eq!(dispatches(&reader.arrive(request(1, "/open/"))).len(), 1);
 }
 
 /// Guards against requests to a target that left while a large configuration was being read: the platform
@@ -314,29 +314,29 @@
 fn a_slow_read_of_the_configuration_is_no_outage() {
     let (mut reader, _) = pair();
     for _ in 0..10 {
-        reader.pass(OUTAGE / 10);
+        reader.advance(OUTAGE / 10);
         reader.send(Event::TargetListAnswered);
     }
-    reader.confirm();
-    reader.list(Vec::new());
+    reader.confirm_configuration();
+    reader.list_targets(Vec::new());
 
-    reader.pass(LEAVE_TIME);
+    reader.advance(LEAVE_TIME);
 
-    assert!(starts(&reader.arrive(request(1, "/open/"))).is_empty());
+    assert!(dispatches(&reader.arrive(request(1, "/open/"))).is_empty());
 }
 
 /// Guards against living targets that are dropped when the first answer after an outage is the list.
 #[test]
 fn an_answer_to_a_read_of_the_list_ends_an_outage() {
     let (mut reader, _) = pair();
-    reader.pass(OUTAGE);
+    reader.advance(OUTAGE);
     reader.send(Event::TargetListAnswered);
 
-    reader.list(Vec::new());
+    reader.list_targets(Vec::new());
 
-    assert_eq!(starts(&reader.arrive(request(1, "/open/"))).len(), 1);
-    reader.pass(RELIST_END);
-    assert!(starts(&reader.arrive(request(2, "/open/"))).is_empty());
+    assert_eq!(dispatches(&reader.arrive(request(1, "/open/"))).len(), 1);
+    reader.advance(RELIST_END);
+    assert!(dispatches(&reader.arrive(request(2, "/open/"))).is_empty());
 }
 
 /// Guards against a log that doesn't distinguish targets that are used though they are missing from the
@@ -344,10 +344,10 @@
 #[test]
 fn the_log_counts_targets_that_are_used_though_missing_from_the_list() {
     let (mut reader, _) = pair();
-    reader.pass(SHORT_OUTAGE);
-    reader.confirm();
+    reader.advance(SHORT_OUTAGE);
+    reader.confirm_configuration();
 
-    let effects = reader.list(vec![target(1)]);
+    let effects = reader.list_targets(vec![target(1)]);
 
     let kept = effects.iter().find_map(|effect| match effect {
         Effect::Log(LogEntry::TargetsChanged { kept, .. }) => Some(*kept),
@@ -359,10 +359,10 @@
 /// Guards against a log of dispatches that doesn't show how old the list of targets was.
 #[test]
 fn the_view_of_a_dispatch_has_the_time_since_the_platform_last_answered_a_read_of_the_list() {
-    let mut process = process(routes(7), targets(1));
+    let mut process = configured_process(routes(7), targets(1));
     assert_eq!(process.state.list_age(process.now.steady), None);
     process.send(Event::TargetListAnswered);
-    process.pass(SHORT_OUTAGE);
+    process.advance(SHORT_OUTAGE);
 
     process.arrive(request(1, "/open/"));
 
--- a/components/scheduler/tests/direct_restart.rs
+++ b/components/scheduler/tests/direct_restart.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, configuration, limit, process, refusal, request, route, settings, start, starts,
-    target, targets,
+    Process, configuration, configured_process, dispatches, limit, only_dispatch, only_refusal,
+    request, route, settings, target, targets,
 };
 use scheduler::direct::{
     self, Effect, Event, LogEntry, Outcome, RefusalReason, Target,
@@ -24,7 +24,7 @@
 
 /// Returns a process that uses these targets.
 fn serving_process(targets: Vec<Target>) -> Process {
-    process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets)
+    configured_process(configuration(1, vec![route("/a/", Repeat::Idempotent)], None), targets)
 }
 
 /// Returns a target with this incarnation; that of the fixture's targets is 1.
@@ -35,7 +35,7 @@
 /// Sends ten requests with tickets from `first_ticket`; returns how many are dispatched at once.
 fn dispatched_at_once(process: &mut Process, first_ticket: u64) -> usize {
     (first_ticket..first_ticket + 10)
-        .map(|ticket| starts(&process.arrive(request(ticket, "/a/"))).len())
+        .map(|ticket| dispatches(&process.arrive(request(ticket, "/a/"))).len())
         .sum()
 }
 
@@ -44,10 +44,10 @@
     let mut process = serving_process(vec![target(1)]);
     assert_eq!(dispatched_at_once(&mut process, 0), 2);
 
-    let effects = process.list(vec![restarted(1, 2)]);
+    let effects = process.list_targets(vec![restarted(1, 2)]);
 
     // Two of the waiting requests take the slots of the new incarnation.
-    assert_eq!(starts(&effects).len(), 2);
+    assert_eq!(dispatches(&effects).len(), 2);
     let is_restart = |effect: &Effect| matches!(effect, Effect::Log(LogEntry::Restarted(name)) if name == "target-1");
     assert!(effects.iter().any(is_restart));
 }
@@ -56,43 +56,44 @@
 fn the_end_of_a_request_at_an_earlier_incarnation_frees_no_slot() {
     let mut process = serving_process(vec![target(1)]);
     process.arrive(request(1, "/a/"));
-    process.list(vec![restarted(1, 2)]);
+    process.list_targets(vec![restarted(1, 2)]);
     assert_eq!(dispatched_at_once(&mut process, 10), 2);
 
-    let effects = process.end(1, Outcome::Completed);
+    let effects = process.end_dispatch(1, Outcome::Completed);
 
-    assert!(starts(&effects).is_empty());
+    assert!(dispatches(&effects).is_empty());
 }
 
 #[test]
 fn speed_failures_and_backoff_of_a_target_are_reset_by_a_restart() {
     let mut process = serving_process(targets(2));
     for ticket in 0..8 {
-        let dispatch = start(&process.arrive(request(ticket, "/a/")));
+        let dispatch = only_dispatch(&process.arrive(request(ticket, "/a/")));
         let is_slow = dispatch.target == "target-0";
-        process.pass(Duration::from_millis(if is_slow { 200 } else { 1 }));
+        process.advance(Duration::from_millis(if is_slow { 200 } else { 1 }));
         process.send(Event::AnswerBegan { ticket });
-        process.end(ticket, if is_slow { Outcome::Unreachable } else { Outcome::Completed });
+        process
+            .end_dispatch(ticket, if is_slow { Outcome::Unreachable } else { Outcome::Completed });
         // A request that couldn't be sent was dispatched again to the other target.
-        process.end(ticket, Outcome::Completed);
+        process.end_dispatch(ticket, Outcome::Completed);
     }
-    assert_eq!(start(&process.arrive(request(20, "/a/"))).target, "target-1");
+    assert_eq!(only_dispatch(&process.arrive(request(20, "/a/"))).target, "target-1");
 
-    process.list(vec![restarted(0, 2), target(1)]);
+    process.list_targets(vec![restarted(0, 2), target(1)]);
 
-    assert_eq!(start(&process.arrive(request(21, "/a/"))).target, "target-0");
+    assert_eq!(only_dispatch(&process.arrive(request(21, "/a/"))).target, "target-0");
 }
 
 #[test]
 fn a_probe_of_an_earlier_incarnation_does_not_affect_the_last_one() {
     let mut process = serving_process(vec![target(1)]);
     process.arrive(request(1, "/a/"));
-    process.end(1, Outcome::Incomplete { crashed: true });
-    process.list(vec![restarted(1, 2)]);
+    process.end_dispatch(1, Outcome::Incomplete { crashed: true });
+    process.list_targets(vec![restarted(1, 2)]);
 
     process.send(Event::Probed { target: "target-1".into(), reached: false });
 
-    assert_eq!(starts(&process.arrive(request(2, "/a/"))).len(), 1);
+    assert_eq!(dispatches(&process.arrive(request(2, "/a/"))).len(), 1);
 }
 
 #[test]
@@ -100,7 +101,7 @@
     let mut process = serving_process(vec![restarted(1, 2)]);
     process.arrive(request(1, "/a/"));
 
-    process.list(vec![Target { is_ready: false, ..restarted(1, 1) }]);
+    process.list_targets(vec![Target { is_ready: false, ..restarted(1, 1) }]);
 
     assert_eq!(dispatched_at_once(&mut process, 10) as u64, TARGET_SLOTS - 1);
 }
@@ -109,9 +110,9 @@
 fn an_older_list_of_a_peer_does_not_restore_an_earlier_incarnation() {
     let stale_peer = serving_process(vec![restarted(1, 1)]);
     let mut process = serving_process(vec![target(1)]);
-    process.list(vec![restarted(1, 2)]);
+    process.list_targets(vec![restarted(1, 2)]);
 
-    process.ask(&stale_peer);
+    process.sync_from(&stale_peer);
 
     let Some(TopicData::Targets(listing)) = process.state.topic_data(process.now, Topic::Targets)
     else {
@@ -143,16 +144,17 @@
 fn a_restart_counts_as_a_crash_caused_by_requests_that_broke_off_before() {
     let poison = |ticket| direct::Request { fingerprint: [7; 16], ..request(ticket, "/a/") };
     let routes = vec![route("/a/", Repeat::Never)];
-    let mut process = process(configuration(1, routes, Some(limit(1e6))), vec![target(1)]);
-    process.pass(Duration::from_secs(1));
+    let mut process =
+        configured_process(configuration(1, routes, Some(limit(1e6))), vec![target(1)]);
+    process.advance(Duration::from_secs(1));
     for ticket in 1..=2 {
-        assert_eq!(starts(&process.arrive(poison(ticket))).len(), 1);
-        process.end(ticket, Outcome::Incomplete { crashed: true });
-        process.list(vec![restarted(1, 1 + ticket)]);
-        process.pass(Duration::from_secs(1));
+        assert_eq!(dispatches(&process.arrive(poison(ticket))).len(), 1);
+        process.end_dispatch(ticket, Outcome::Incomplete { crashed: true });
+        process.list_targets(vec![restarted(1, 1 + ticket)]);
+        process.advance(Duration::from_secs(1));
     }
 
     let effects = process.arrive(poison(3));
 
-    assert_eq!(refusal(&effects).reason, RefusalReason::Quarantined);
+    assert_eq!(only_refusal(&effects).reason, RefusalReason::Quarantined);
 }
--- a/components/scheduler/tests/direct_resumed.rs
+++ b/components/scheduler/tests/direct_resumed.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, configuration, process, refusals, request, route, starts, target, targets,
+    Process, configuration, configured_process, dispatches, refusals, request, route, target,
+    targets,
 };
 use scheduler::direct::{Effect, Event, Outcome, Ticket, plan::Repeat};
 use test_case::test_case;
@@ -16,16 +17,16 @@
 
 /// Returns a process with `target_count` targets and a retry budget that isn't empty.
 fn entry_process(target_count: u16) -> Process {
-    let mut entry = process(
+    let mut entry = configured_process(
         configuration(1, vec![route("/resume/", Repeat::Resumable)], None),
         targets(target_count),
     );
     // The retry budget fills with time.
-    entry.pass(Duration::from_secs(30));
-    entry.confirm();
+    entry.advance(Duration::from_secs(30));
+    entry.confirm_configuration();
     // This long after an outage, targets that are missing in the list aren't used any more.
-    entry.pass(2_500 * MS);
-    entry.confirm();
+    entry.advance(2_500 * MS);
+    entry.confirm_configuration();
     entry
 }
 
@@ -45,14 +46,14 @@
     entry.arrive(request(1, "/resume/"));
     let mut effects: Vec<Effect> =
         outcomes.iter().flat_map(|&outcome| end_begun_stream(&mut entry, 1, outcome)).collect();
-    entry.list(Vec::new());
+    entry.list_targets(Vec::new());
 
-    (0..48).for_each(|_| effects.extend(entry.pass(100 * MS)));
-    entry.confirm();
-    let resumed = entry.list(vec![target(9)]);
+    (0..48).for_each(|_| effects.extend(entry.advance(100 * MS)));
+    entry.confirm_configuration();
+    let resumed = entry.list_targets(vec![target(9)]);
 
     assert!(refusals(&effects).is_empty(), "{effects:?}");
-    assert_eq!(starts(&resumed).len(), 1);
+    assert_eq!(dispatches(&resumed).len(), 1);
 }
 
 #[test]
@@ -61,7 +62,7 @@
     entry.arrive(request(1, "/resume/"));
     end_begun_stream(&mut entry, 1, BROKEN_OFF);
 
-    let effects = entry.pass(Duration::from_secs(5));
+    let effects = entry.advance(Duration::from_secs(5));
 
     assert_eq!(refusals(&effects).len(), 1);
     assert_eq!(entry.state.open_requests(), 0);
@@ -76,12 +77,12 @@
 
     let mut effects: Vec<Effect> =
         (0..90).flat_map(|ticket| end_begun_stream(&mut entry, ticket, BROKEN_OFF)).collect();
-    let resumed_at_once = starts(&effects).len();
-    (0..45).for_each(|_| effects.extend(entry.pass(100 * MS)));
+    let resumed_at_once = dispatches(&effects).len();
+    (0..45).for_each(|_| effects.extend(entry.advance(100 * MS)));
 
     assert!(refusals(&effects).is_empty(), "{effects:?}");
     // The budget allows a fifth of 90 requests and 50 more, a part of them only as time passes.
-    let resumed = starts(&effects).len();
+    let resumed = dispatches(&effects).len();
     assert!(resumed_at_once < resumed && resumed <= 68, "{resumed_at_once} {resumed}");
 }
 
@@ -94,5 +95,5 @@
 
     let effects = entry.arrive(request(100, "/resume/"));
 
-    assert!(starts(&effects).iter().any(|start| start.ticket == 100), "{effects:?}");
+    assert!(dispatches(&effects).iter().any(|dispatch| dispatch.ticket == 100), "{effects:?}");
 }
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -11,7 +11,9 @@
     time::Duration,
 };
 
-use direct_support::{Process, address, blank, configuration, request, route, starts, target};
+use direct_support::{
+    Process, address, configuration, dispatches, empty_process, request, route, target,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::direct::{
     Effect, Event, LogEntry, Outcome, Target, Ticket,
@@ -105,14 +107,14 @@
 /// Returns a process that has read the configuration and the targets of the old version; its clock is
 /// that of `clock`, or the current time for `None`.
 fn started_process(number: usize, clock: Option<&Process>) -> Process {
-    let mut process = blank(number as u16 + 1);
+    let mut process = empty_process(number as u16 + 1);
     if let Some(clock) = clock {
         process.now = clock.now;
     }
     let routes = vec![route("/a/", Repeat::Idempotent), route("/b/", Repeat::Never)];
     process.send(Event::ConfigurationRead(configuration(1, routes, None).into()));
-    process.confirm();
-    process.list(targets("v1", 0));
+    process.confirm_configuration();
+    process.list_targets(targets("v1", 0));
     process
 }
 
@@ -152,9 +154,9 @@
                 self.actions.push(step.action);
             }
         }
-        for start in starts(&effects) {
-            let is_ordered = start.address.port() >= 1_000 + TARGETS_PER_VERSION;
-            let is_first_route = start.is_repeatable;
+        for dispatch in dispatches(&effects) {
+            let is_ordered = dispatch.address.port() >= 1_000 + TARGETS_PER_VERSION;
+            let is_first_route = dispatch.is_repeatable;
             let is_bad = self.step >= self.behaviour.from_step
                 && !(self.behaviour.is_one_route_only && is_first_route);
             let mut held_steps: f64 = self.random.random_range(15.0..35.0);
@@ -173,7 +175,7 @@
                     }
                 }
             }
-            self.in_flight.insert((self.step + held_steps as u32, index, start.ticket), outcome);
+            self.in_flight.insert((self.step + held_steps as u32, index, dispatch.ticket), outcome);
         }
     }
 
@@ -187,7 +189,7 @@
     fn tick(&mut self) {
         self.step += 1;
         for index in 0..self.processes.len() {
-            let effects = self.processes[index].pass(STEP_TIME);
+            let effects = self.processes[index].advance(STEP_TIME);
             self.apply(index, effects);
         }
         let first_later = (self.step + 1, 0, 0);
@@ -248,7 +250,7 @@
         let clock = Process { now: self.processes[other].now, ..started_process(index, None) };
         self.processes[index] = started_process(index, Some(&clock));
         self.in_flight.retain(|(_, process, _), _| *process != index);
-        self.processes[index].list(all_targets());
+        self.processes[index].list_targets(all_targets());
         self.processes[index].send(Event::RolloutOrdered(order()));
     }
 
@@ -290,7 +292,7 @@
     /// count of steps and dispatches. All dispatches in flight end in the next step.
     fn start_rollout(&mut self) {
         for index in 0..self.processes.len() {
-            let effects = self.processes[index].list(all_targets());
+            let effects = self.processes[index].list_targets(all_targets());
             self.apply(index, effects);
             self.send(index, Event::RolloutOrdered(order()));
         }
@@ -454,7 +456,7 @@
 #[test]
 fn a_version_gets_no_requests_before_its_order_and_a_read_report() {
     let mut process = started_process(0, None);
-    process.list(all_targets());
+    process.list_targets(all_targets());
     for ticket in 0..200 {
         process.arrive(request(ticket, "/a/"));
     }
@@ -484,7 +486,7 @@
 #[test]
 fn a_stored_completion_ends_the_rollout_of_a_process() {
     let mut process = started_process(0, None);
-    process.list(all_targets());
+    process.list_targets(all_targets());
     process.send(Event::RolloutOrdered(order()));
     let stored = Report {
         pool: "pool".into(),
@@ -495,8 +497,8 @@
 
     process.send(Event::RolloutsReported(vec![stored]));
 
-    let started = starts(&process.arrive(request(1, "/a/")));
-    assert!(started[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
+    let dispatches = dispatches(&process.arrive(request(1, "/a/")));
+    assert!(dispatches[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
     assert!(process.state.reports().is_empty());
 }
 
@@ -519,7 +521,7 @@
     }
 
     first.era += 1;
-    first.confirm();
+    first.confirm_configuration();
     let row = second.state.next_row(second.now.steady);
     first.send(Event::RowsReceived(vec![row]));
 
@@ -537,7 +539,7 @@
 
     assert!(process.state.reports().is_empty());
     process.era += 1;
-    process.confirm();
+    process.confirm_configuration();
     assert!(process.state.reports().is_empty());
 }
 
@@ -561,8 +563,8 @@
 fn a_version_is_used_without_an_order_if_no_target_runs_another() {
     let mut process = started_process(0, None);
 
-    process.list(targets("v2", TARGETS_PER_VERSION));
-    process.pass(Duration::from_secs(3));
+    process.list_targets(targets("v2", TARGETS_PER_VERSION));
+    process.advance(Duration::from_secs(3));
 
-    assert_eq!(starts(&process.arrive(request(1, "/a/"))).len(), 1);
+    assert_eq!(dispatches(&process.arrive(request(1, "/a/"))).len(), 1);
 }
--- a/components/scheduler/tests/direct_silent.rs
+++ b/components/scheduler/tests/direct_silent.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, configuration, process, refusals, request, route, start, starts, targets,
+    Process, configuration, configured_process, dispatches, only_dispatch, refusals, request,
+    route, targets,
 };
 use model::reservation::Load;
 use scheduler::direct::{
@@ -25,14 +26,14 @@
         Route { is_stream: true, ..route("/safe-stream/", Repeat::Idempotent) },
         route("/never/", Repeat::Never),
     ];
-    let mut entry = process(configuration(1, routes, None), targets);
+    let mut entry = configured_process(configuration(1, routes, None), targets);
     // The retry budget fills over time.
-    entry.pass(Duration::from_secs(30));
-    entry.confirm();
+    entry.advance(Duration::from_secs(30));
+    entry.confirm_configuration();
     // The 30 s without an answer of the platform count as an outage. For 2.2 s after the end of an outage,
     // the process keeps using targets that vanish from the list.
-    entry.pass(2_500 * MILLISECOND);
-    entry.confirm();
+    entry.advance(2_500 * MILLISECOND);
+    entry.confirm_configuration();
     entry
 }
 
@@ -53,7 +54,7 @@
 /// Lets requests with these numbers arrive and checks that each one is dispatched.
 fn dispatch_requests(entry: &mut Process, tickets: std::ops::Range<Ticket>) {
     for ticket in tickets {
-        assert_eq!(starts(&entry.arrive(request(ticket, "/never/"))).len(), 1);
+        assert_eq!(dispatches(&entry.arrive(request(ticket, "/never/"))).len(), 1);
     }
 }
 
@@ -67,7 +68,7 @@
     dispatch_requests(&mut entry, 2..5);
 
     let mut effects = stall(&mut entry, 1, begun);
-    (0..40).for_each(|_| effects.extend(entry.pass(100 * MILLISECOND)));
+    (0..40).for_each(|_| effects.extend(entry.advance(100 * MILLISECOND)));
 
     assert!(move_destinations(&effects).is_empty() && refusals(&effects).is_empty(), "{effects:?}");
     assert!(entry.state.target_of(1).is_some());
@@ -77,7 +78,7 @@
 #[test]
 fn a_request_moves_from_a_stalled_target_once_another_has_a_free_slot() {
     let mut entry = entry(targets(2));
-    let first = start(&entry.arrive(request(1, "/resume/"))).target;
+    let first = only_dispatch(&entry.arrive(request(1, "/resume/"))).target;
     dispatch_requests(&mut entry, 2..5);
     stall(&mut entry, 1, true);
     let at_other_target = (2..5).find(|&ticket| {
@@ -86,27 +87,27 @@
     });
 
     let after_free_slot =
-        entry.end(at_other_target.expect("each target runs requests"), Outcome::Completed);
-    let moved = entry.end(1, Outcome::Unresponsive);
+        entry.end_dispatch(at_other_target.expect("each target runs requests"), Outcome::Completed);
+    let moved = entry.end_dispatch(1, Outcome::Unresponsive);
 
     assert_eq!(move_destinations(&after_free_slot).len(), 1);
-    assert!(starts(&after_free_slot).is_empty(), "two targets would run the request at once");
-    let start = start(&moved);
-    assert_eq!((&start.target, start.attempt), (&move_destinations(&after_free_slot)[0], 2));
+    assert!(dispatches(&after_free_slot).is_empty(), "two targets would run the request at once");
+    let dispatch = only_dispatch(&moved);
+    assert_eq!((&dispatch.target, dispatch.attempt), (&move_destinations(&after_free_slot)[0], 2));
 }
 
 /// Guards against a request that moves although its target answers after all.
 #[test]
 fn a_target_that_sends_data_again_keeps_its_request() {
     let mut entry = entry(targets(2));
-    let first = start(&entry.arrive(request(1, "/resume/"))).target;
+    let first = only_dispatch(&entry.arrive(request(1, "/resume/"))).target;
     dispatch_requests(&mut entry, 2..5);
     stall(&mut entry, 1, true);
     entry.send(Event::TargetResumed { ticket: 1 });
 
     let mut effects: Vec<Effect> =
-        (2..5).flat_map(|ticket| entry.end(ticket, Outcome::Completed)).collect();
-    effects.extend(entry.pass(100 * MILLISECOND));
+        (2..5).flat_map(|ticket| entry.end_dispatch(ticket, Outcome::Completed)).collect();
+    effects.extend(entry.advance(100 * MILLISECOND));
 
     assert!(move_destinations(&effects).is_empty(), "{effects:?}");
     assert_eq!(entry.state.target_of(1).map(|target| &target.name), Some(&first));
@@ -119,13 +120,13 @@
     entry.arrive(request(1, "/resume/"));
     let move_effects = stall(&mut entry, 1, true);
 
-    let effects = entry.end(1, Outcome::Completed);
+    let effects = entry.end_dispatch(1, Outcome::Completed);
     // A target that stalled gets no requests for 250 ms.
-    entry.pass(300 * MILLISECOND);
+    entry.advance(300 * MILLISECOND);
     dispatch_requests(&mut entry, 2..6);
 
     assert_eq!(move_destinations(&move_effects).len(), 1);
-    assert!(starts(&effects).is_empty(), "{effects:?}");
+    assert!(dispatches(&effects).is_empty(), "{effects:?}");
     assert_eq!(entry.state.open_requests(), 4);
 }
 
@@ -167,7 +168,7 @@
         entry.send(Event::TargetResumed { ticket: 1 });
     }
     let two_targets = (0..2).map(|number| Target { slots: 2, ..direct_support::target(number) });
-    entry.list(two_targets.collect());
+    entry.list_targets(two_targets.collect());
 
     let effects = stall(&mut entry, 1, true);
 
@@ -210,22 +211,22 @@
 fn the_slot_at_a_stalled_target_is_freed_when_its_request_moves() {
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/resume/"));
-    let first = start(&grant(&mut entry, 1, 1)).target;
+    let first = only_dispatch(&grant(&mut entry, 1, 1)).target;
 
     let search_effects = stall(&mut entry, 1, true);
     let (number, target) = reservations(&search_effects)[0].clone();
     let granted = grant(&mut entry, 1, number);
-    let moved = entry.end(1, Outcome::Unresponsive);
+    let moved = entry.end_dispatch(1, Outcome::Unresponsive);
 
     assert!(reservations(&search_effects).iter().all(|(_, target)| *target != first));
     assert!(!withdrawn(&granted).contains(&1) && !withdrawn(&granted).contains(&number));
     assert_eq!(move_destinations(&granted), std::slice::from_ref(&target));
-    assert_eq!((withdrawn(&moved), start(&moved).target), (vec![1], target));
+    assert_eq!((withdrawn(&moved), only_dispatch(&moved).target), (vec![1], target));
 }
 
 /// Guards against slots that agents keep for a request that stays at its target.
 #[test_case(|entry: &mut Process| entry.send(Event::TargetResumed { ticket: 1 }); "its target sends data")]
-#[test_case(|entry: &mut Process| entry.pass(Duration::from_secs(5)); "its deadline has passed")]
+#[test_case(|entry: &mut Process| entry.advance(Duration::from_secs(5)); "its deadline has passed")]
 fn a_request_that_stays_at_its_target_withdraws_its_reservations(
     stay: fn(&mut Process) -> Vec<Effect>,
 ) {
@@ -241,7 +242,7 @@
     assert!(!numbers.is_empty());
     assert!(numbers.iter().all(|number| withdrawn(&effects).contains(number)), "{effects:?}");
     assert!(refusals(&effects).is_empty(), "{effects:?}");
-    assert!(starts(&grant(&mut entry, 1, numbers[0])).is_empty());
+    assert!(dispatches(&grant(&mut entry, 1, numbers[0])).is_empty());
 }
 
 /// Guards against slots at both targets that are kept after the caller has disconnected.
@@ -269,11 +270,13 @@
     let search_effects = stall(&mut entry, 1, true);
     let (number, target) = reservations(&search_effects)[0].clone();
     grant(&mut entry, 1, number);
-    entry.list(targets_with_agents(2).into_iter().filter(|listed| listed.name != target).collect());
+    entry.list_targets(
+        targets_with_agents(2).into_iter().filter(|listed| listed.name != target).collect(),
+    );
 
-    let moved = entry.end(1, Outcome::Unresponsive);
+    let moved = entry.end_dispatch(1, Outcome::Unresponsive);
 
-    assert!(starts(&moved).is_empty() && refusals(&moved).is_empty(), "{moved:?}");
+    assert!(dispatches(&moved).is_empty() && refusals(&moved).is_empty(), "{moved:?}");
     assert_eq!(withdrawn(&moved), [1, number]);
 }
 
@@ -286,12 +289,12 @@
     grant(&mut entry, 1, 1);
     let search_effects = stall(&mut entry, 1, true);
 
-    let broken = entry.end(1, Outcome::Incomplete { crashed: true });
+    let broken = entry.end_dispatch(1, Outcome::Incomplete { crashed: true });
     let granted = grant(&mut entry, 1, reservations(&search_effects)[0].0);
 
     assert!(refusals(&broken).is_empty() && reservations(&broken).is_empty(), "{broken:?}");
     assert_eq!(withdrawn(&broken), [1]);
-    assert_eq!(start(&granted).attempt, 2);
+    assert_eq!(only_dispatch(&granted).attempt, 2);
 }
 
 /// Guards against an answer that is put together from two runs: the first event arrives while the dispatch is
@@ -310,7 +313,7 @@
 
     assert_eq!(move_destinations(&move_effects).len(), 1);
     assert!(
-        starts(&effects).is_empty(),
+        dispatches(&effects).is_empty(),
         "the caller would get a part of the answer twice: {effects:?}"
     );
     assert_eq!(refusals(&effects).len(), 1);
@@ -324,13 +327,13 @@
     if has_stalled {
         stall(&mut entry, 1, false);
     }
-    let mut effects = entry.end(1, Outcome::Failed);
+    let mut effects = entry.end_dispatch(1, Outcome::Failed);
     let mut passed = Duration::ZERO;
     let is_answer =
         |effect: &Effect| matches!(effect, Effect::PassFailure { .. } | Effect::Refuse { .. });
     while !effects.iter().any(is_answer) && passed < Duration::from_secs(6) {
         passed += 100 * MILLISECOND;
-        effects.extend(entry.pass(100 * MILLISECOND));
+        effects.extend(entry.advance(100 * MILLISECOND));
     }
     passed
 }
@@ -361,8 +364,8 @@
 
     let mut effects = Vec::new();
     for _ in 0..60 {
-        effects.extend(entry.pass(100 * MILLISECOND));
-        entry.confirm();
+        effects.extend(entry.advance(100 * MILLISECOND));
+        entry.confirm_configuration();
     }
 
     assert_eq!(move_destinations(&move_effects).len(), 1);
@@ -370,7 +373,7 @@
 }
 
 /// Guards against requests that are refused before their deadline when they have moved from a stalled target
-/// and the next target doesn't take them (issue 42): the dispatch that was ended for the move might
+/// and the next target can't be reached or rejects them. The dispatch that was cancelled for the move might
 /// still have answered the caller, who waits for 5 s.
 #[test_case("/safe/", false, Outcome::Unreachable; "an idempotent request and an unreachable target")]
 #[test_case("/safe/", false, Outcome::Rejected; "an idempotent request and a rejection")]
@@ -383,17 +386,17 @@
     next_outcome: Outcome,
 ) {
     let mut entry = entry(targets(2));
-    let stalled = start(&entry.arrive(request(1, path))).target;
+    let stalled = only_dispatch(&entry.arrive(request(1, path))).target;
     let move_effects = stall(&mut entry, 1, begun);
     let ended = |outcome| Event::DispatchEnded { ticket: 1, outcome, begun, events: 0 };
     let moved = entry.send(ended(Outcome::Unresponsive));
     let mut effects = entry.send(ended(next_outcome));
     // The platform lists only the stalled target any more.
     let listed = targets(2).into_iter().filter(|target| target.name == stalled);
-    effects.extend(entry.list(listed.collect()));
+    effects.extend(entry.list_targets(listed.collect()));
 
-    (0..48).for_each(|_| effects.extend(entry.pass(100 * MILLISECOND)));
+    (0..48).for_each(|_| effects.extend(entry.advance(100 * MILLISECOND)));
 
-    assert_eq!((move_destinations(&move_effects).len(), starts(&moved).len()), (1, 1));
+    assert_eq!((move_destinations(&move_effects).len(), dispatches(&moved).len()), (1, 1));
     assert!(refusals(&effects).is_empty(), "{effects:?}");
 }
--- a/components/scheduler/tests/direct_sizes.rs
+++ b/components/scheduler/tests/direct_sizes.rs
@@ -7,41 +7,44 @@
 
 use std::time::Duration;
 
-use direct_support::site::{Agents, Kind, Lengths, Site, World, world_of};
+use direct_support::site::{
+    Agents, AnswerLengths, RequestKind, Simulation, Site, simulation_of_lengths,
+};
 use test_case::test_case;
 
 /// Three tiers of requests, which differ in patience and in the lengths of their answers.
-const KINDS: &[Kind] = &[
-    Kind {
+const KINDS: &[RequestKind] = &[
+    RequestKind {
         path: "/first/",
         rank: 0,
-        share: 0.25,
-        aim: Duration::from_millis(800),
-        patience: Duration::from_secs(5),
-        median: 20.0,
-        spread: 3.5,
+        fraction: 0.25,
+        target_latency: Duration::from_millis(800),
+        timeout: Duration::from_secs(5),
+        median_tokens: 20.0,
+        tokens_spread: 3.5,
     },
-    Kind {
+    RequestKind {
         path: "/middle/",
         rank: 1,
-        share: 0.45,
-        aim: Duration::from_millis(1_000),
-        patience: Duration::from_secs(3),
-        median: 10.0,
-        spread: 4.0,
+        fraction: 0.45,
+        target_latency: Duration::from_millis(1_000),
+        timeout: Duration::from_secs(3),
+        median_tokens: 10.0,
+        tokens_spread: 4.0,
     },
-    Kind {
+    RequestKind {
         path: "/last/",
         rank: 2,
-        share: 0.3,
-        aim: Duration::from_millis(1_200),
-        patience: Duration::from_secs(15),
-        median: 110.0,
-        spread: 4.5,
+        fraction: 0.3,
+        target_latency: Duration::from_millis(1_200),
+        timeout: Duration::from_secs(15),
+        median_tokens: 110.0,
+        tokens_spread: 4.5,
     },
 ];
 /// Times per request at a fast and at a slow target, in ms.
-const LENGTHS: Lengths = Lengths { kinds: KINDS, first: [80.0, 160.0], token: [3.5, 10.5] };
+const LENGTHS: AnswerLengths =
+    AnswerLengths { kinds: KINDS, first_token_ms: [80.0, 160.0], token_ms: [3.5, 10.5] };
 /// Index in `KINDS` of the middle tier.
 const MIDDLE_KIND: usize = 1;
 /// Index in `KINDS` of the lowest tier.
@@ -55,18 +58,27 @@
 const ARRIVALS_MS: u64 = 60_000;
 
 /// Runs a deployment that gets `load` requests per second until all requests have ended.
-fn simulate(load: f64, seed: u64) -> World {
-    let site = Site { entries: 16, targets: 24, slots: 4, held: 0, load, agents: Agents::Beside };
-    let mut world = world_of(site, LENGTHS, seed);
-    (0..ARRIVALS_MS).for_each(|_| world.pass());
-    world.finish();
-    world
+fn simulate(load: f64, seed: u64) -> Simulation {
+    let site = Site {
+        entries: 16,
+        targets: 24,
+        slots: 4,
+        mean_service_ms: 0,
+        requests_per_second: load,
+        agents: Agents::AtTargets,
+    };
+    let mut simulation = simulation_of_lengths(site, LENGTHS, seed);
+    (0..ARRIVALS_MS).for_each(|_| simulation.step());
+    simulation.finish();
+    simulation
 }
 
 /// Returns the part that is served of the longest tenth of a kind and of the fifth below it, each divided by
 /// the part that is served of the whole kind.
-fn served_ratios_of_longest(world: &World, kind: usize) -> [f64; 2] {
-    [0.9..1.0, 0.7..0.9].map(|range| world.served(kind, range) / world.served(kind, 0.0..1.0))
+fn served_ratios_of_longest(simulation: &Simulation, kind: usize) -> [f64; 2] {
+    [0.9..1.0, 0.7..0.9].map(|range| {
+        simulation.served_fraction(kind, range) / simulation.served_fraction(kind, 0.0..1.0)
+    })
 }
 
 /// Guards against long answers that are starved by short answers of their own tier.
@@ -75,10 +87,10 @@
 #[test_case(175.0, 3; "load_175_seed_3")]
 #[test_case(175.0, 4; "load_175_seed_4")]
 fn long_answers_are_served_at_least_half_as_often_as_their_kind(load: f64, seed: u64) {
-    let world = simulate(load, seed);
+    let simulation = simulate(load, seed);
 
     for kind in [MIDDLE_KIND, LOWEST_KIND] {
-        let ratios = served_ratios_of_longest(&world, kind);
+        let ratios = served_ratios_of_longest(&simulation, kind);
         assert!(ratios.iter().all(|&ratio| ratio >= MIN_LONGEST_RATIO), "kind {kind}: {ratios:?}");
     }
 }
@@ -89,13 +101,13 @@
 #[test_case(175.0, 3; "load_175_seed_3")]
 #[test_case(175.0, 4; "load_175_seed_4")]
 fn no_length_is_served_much_less_often_than_its_kind(load: f64, seed: u64) {
-    let world = simulate(load, seed);
+    let simulation = simulate(load, seed);
 
     for kind in [MIDDLE_KIND, LOWEST_KIND] {
-        let whole = world.served(kind, 0.0..1.0);
+        let whole = simulation.served_fraction(kind, 0.0..1.0);
         let tenths = (0..10).map(|tenth| f64::from(tenth) / 10.0);
         let ratios: Vec<f64> =
-            tenths.map(|from| world.served(kind, from..from + 0.1) / whole).collect();
+            tenths.map(|from| simulation.served_fraction(kind, from..from + 0.1) / whole).collect();
         assert!(ratios.iter().all(|&ratio| ratio >= MIN_TENTH_RATIO), "kind {kind}: {ratios:.2?}");
     }
 }
--- a/components/scheduler/tests/direct_support/mod.rs
+++ b/components/scheduler/tests/direct_support/mod.rs
@@ -19,11 +19,11 @@
 };
 
 /// Time for which a process accepts keys after its configuration was last confirmed.
-pub const FRESHNESS: Duration = Duration::from_secs(4);
+pub const MAX_CONFIGURATION_AGE: Duration = Duration::from_secs(4);
 /// Time after which a peer without a new row or stamp counts as unable to take requests.
-pub const GONE: Duration = Duration::from_secs(6);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(6);
 /// Window of the tolerance by which accounts may exceed their limits.
-pub const WINDOW: Duration = Duration::from_secs(8);
+pub const TOLERANCE_WINDOW: Duration = Duration::from_secs(8);
 
 /// An entry process with its clocks.
 pub struct Process {
@@ -48,20 +48,20 @@
         address: address(number),
         incarnation: u64::from(number),
         zone: "north".into(),
-        max_configuration_age: FRESHNESS,
-        peer_timeout: GONE,
+        max_configuration_age: MAX_CONFIGURATION_AGE,
+        peer_timeout: PEER_TIMEOUT,
         retry_budget: RetryBudgetRule {
             retries_per_request: 0.2,
             extra_retries: 50.0,
             window: Duration::from_secs(10),
         },
-        tolerance: Tolerance { ratio: 0.1, slack: 1_000.0, window: WINDOW },
+        tolerance: Tolerance { ratio: 0.1, slack: 1_000.0, window: TOLERANCE_WINDOW },
         trial_share: 0.1,
     }
 }
 
 /// Returns a process that has just started and has no configuration, targets or peers.
-pub fn blank(number: u16) -> Process {
+pub fn empty_process(number: u16) -> Process {
     let now = Now { steady: Instant::now(), boot: Duration::from_secs(1_000) };
     let settings = settings(number);
     let address = settings.address;
@@ -69,15 +69,15 @@
 }
 
 /// Returns a process with a confirmed configuration and a list of targets.
-pub fn process(configuration: Configuration, targets: Vec<Target>) -> Process {
-    let mut process = blank(1);
+pub fn configured_process(configuration: Configuration, targets: Vec<Target>) -> Process {
+    let mut process = empty_process(1);
     process.send(Event::ConfigurationRead(Arc::new(configuration)));
-    process.confirm();
-    process.list(targets);
+    process.confirm_configuration();
+    process.list_targets(targets);
     // The first read counts as the end of an outage, after which targets that vanish from the list are used
     // for 2.2 s more.
-    process.pass(Duration::from_millis(2_500));
-    process.confirm();
+    process.advance(Duration::from_millis(2_500));
+    process.confirm_configuration();
     process
 }
 
@@ -88,13 +88,13 @@
     }
 
     /// Confirms that the configuration which the process has is the newest one.
-    pub fn confirm(&mut self) -> Vec<Effect> {
+    pub fn confirm_configuration(&mut self) -> Vec<Effect> {
         let (boot, version) = (self.now.boot, self.state.known().plan);
         self.send(Event::ConfigurationConfirmed { boot, version, era: self.era })
     }
 
     /// Replaces the list of targets, at the next position of the era.
-    pub fn list(&mut self, targets: Vec<Target>) -> Vec<Effect> {
+    pub fn list_targets(&mut self, targets: Vec<Target>) -> Vec<Effect> {
         let known = self.state.known().targets;
         let offset = if known.era < self.era { 0 } else { known.offset + 1 };
         let position = Position { era: self.era, offset };
@@ -102,7 +102,7 @@
     }
 
     /// Receives the offer of a peer. Returns the topics to fetch from that peer, and all effects.
-    pub fn hear_offer(&mut self, other: &Process) -> (Vec<Topic>, Vec<Effect>) {
+    pub fn receive_offer(&mut self, other: &Process) -> (Vec<Topic>, Vec<Effect>) {
         let offer = other.state.offer(other.now);
         let peer = other.address;
         let effects = self.send(Event::PeerOffered { peer, offer });
@@ -112,20 +112,20 @@
     }
 
     /// Receives the offer of a peer and fetches the topics that this process lacks.
-    pub fn ask(&mut self, other: &Process) -> Vec<Effect> {
-        let (topics, mut effects) = self.hear_offer(other);
-        effects.extend(topics.into_iter().flat_map(|topic| self.fetch(other, topic)));
+    pub fn sync_from(&mut self, other: &Process) -> Vec<Effect> {
+        let (topics, mut effects) = self.receive_offer(other);
+        effects.extend(topics.into_iter().flat_map(|topic| self.receive_topic(other, topic)));
         effects
     }
 
     /// Receives the answer of a peer to a fetch of a topic.
-    pub fn fetch(&mut self, other: &Process, topic: Topic) -> Vec<Effect> {
+    pub fn receive_topic(&mut self, other: &Process, topic: Topic) -> Vec<Effect> {
         let data = other.state.topic_data(other.now, topic);
         self.send(Event::Fetched { peer: other.address, topic, data })
     }
 
     /// Advances both clocks by `time` and handles a tick.
-    pub fn pass(&mut self, time: Duration) -> Vec<Effect> {
+    pub fn advance(&mut self, time: Duration) -> Vec<Effect> {
         self.now.steady += time;
         self.now.boot += time;
         self.send(Event::Tick)
@@ -137,7 +137,7 @@
     }
 
     /// Ends the dispatch of a request, of whose answer nothing went to the caller.
-    pub fn end(&mut self, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
+    pub fn end_dispatch(&mut self, ticket: Ticket, outcome: Outcome) -> Vec<Effect> {
         self.send(Event::DispatchEnded { ticket, outcome, begun: false, events: 0 })
     }
 }
@@ -213,7 +213,7 @@
 
 /// Returns a request for `/a/` whose caller expects an answer of `tokens` tokens, with a pseudo-random
 /// `spread` instead of the ticket.
-pub fn expecting(ticket: Ticket, tokens: u32) -> Request {
+pub fn request_expecting(ticket: Ticket, tokens: u32) -> Request {
     let spread = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Request { expected_tokens: Some(tokens), spread, ..request(ticket, "/a/") }
 }
@@ -228,12 +228,12 @@
 }
 
 /// Returns the dispatches among the effects.
-pub fn starts(effects: &[Effect]) -> Vec<Dispatch> {
-    let starts = effects.iter().filter_map(|effect| match effect {
-        Effect::Dispatch(start) => Some(start.clone()),
+pub fn dispatches(effects: &[Effect]) -> Vec<Dispatch> {
+    let dispatches = effects.iter().filter_map(|effect| match effect {
+        Effect::Dispatch(dispatch) => Some(dispatch.clone()),
         _ => None,
     });
-    starts.collect()
+    dispatches.collect()
 }
 
 /// Returns the fetches among the effects: the peer to ask, and the topic.
@@ -255,15 +255,15 @@
 }
 
 /// Returns the refusal among the effects; panics unless there is exactly one.
-pub fn refusal(effects: &[Effect]) -> Refusal {
+pub fn only_refusal(effects: &[Effect]) -> Refusal {
     let refusals = refusals(effects);
     assert_eq!(refusals.len(), 1, "{effects:?}");
     refusals[0].1
 }
 
 /// Returns the dispatch among the effects; panics unless there is exactly one.
-pub fn start(effects: &[Effect]) -> Dispatch {
-    let starts = starts(effects);
-    assert_eq!(starts.len(), 1, "{effects:?}");
-    starts[0].clone()
+pub fn only_dispatch(effects: &[Effect]) -> Dispatch {
+    let dispatches = dispatches(effects);
+    assert_eq!(dispatches.len(), 1, "{effects:?}");
+    dispatches[0].clone()
 }
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -20,7 +20,8 @@
 use uuid::Uuid;
 
 use super::{
-    Process, address, blank, configuration, refusals, request, route, settings, starts, target,
+    Process, address, configuration, dispatches, empty_process, refusals, request, route, settings,
+    target,
 };
 
 /// Time that a message takes from one process to another, in ms.
@@ -28,17 +29,17 @@
 /// Period in which entry processes and agents handle their timers, in ms.
 const TICK_MS: u64 = 5;
 /// Virtual time from which on the limited targets state their rate limits in answers, in ms.
-pub const NAMED: u64 = 2_000;
+pub const LIMITS_START_MS: u64 = 2_000;
 /// Virtual time from which on targets state no rate limits any more, in ms.
-pub const LIFTED: u64 = 16_000;
+pub const LIMITS_END_MS: u64 = 16_000;
 /// Virtual time at which tests of limits and repeats end, in ms.
-pub const END: u64 = 24_000;
-/// Time after [`NAMED`] from which on a rate limit is checked, in ms.
-pub const STABLE: u64 = 3_000;
+pub const END_MS: u64 = 24_000;
+/// Time after [`LIMITS_START_MS`] from which on a rate limit is checked, in ms.
+pub const LIMIT_CHECK_DELAY_MS: u64 = 3_000;
 /// Time after which a process must observe a limit that it forwarded to a caller, in ms.
 const LIMIT_GRACE_MS: u64 = 500;
 /// Length of the window in which the requests that a target got are counted, in ms.
-pub const WINDOW: u64 = 4_000;
+pub const COUNT_WINDOW_MS: u64 = 4_000;
 /// Time that killed agents take to restart, in ms.
 const AGENT_RESTART_MS: u64 = 400;
 
@@ -53,9 +54,9 @@
     pub slots: u32,
     /// Mean time of a request at a target, in ms; each request takes from half to one and a half of it.
     /// Not used for answers that have a length.
-    pub held: u64,
+    pub mean_service_ms: u64,
     /// Requests a second that arrive at all entry processes together.
-    pub load: f64,
+    pub requests_per_second: f64,
     /// Which targets have an agent.
     pub agents: Agents,
 }
@@ -64,56 +65,57 @@
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Agents {
     /// Each target has one.
-    Beside,
+    AtTargets,
     /// Only the targets of another pool, which gets no requests, have one.
-    Others,
+    AtOtherPool,
     /// No target has one.
-    Nowhere,
+    Absent,
 }
 
 /// Targets that reject a fraction of their requests.
 #[derive(Clone, Copy)]
-pub struct Shedding {
+pub struct Rejections {
     /// Number of targets that reject requests, counted from the first.
     pub targets: u16,
     /// Fraction of the requests that they reject, from 0 to 1.
-    pub share: f64,
+    pub fraction: f64,
 }
 
 /// Kind of requests with a route of its own, whose answers vary in length.
 #[derive(Clone, Copy)]
-pub struct Kind {
+pub struct RequestKind {
     /// Path of the requests, and prefix of their route.
     pub path: &'static str,
     /// Rank of the route's tier.
     pub rank: u32,
     /// Fraction of all requests that are of this kind, from 0 to 1.
-    pub share: f64,
+    pub fraction: f64,
     /// Target latency of the first event.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// Time from arrival to the deadline of the whole answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Median of the tokens of an answer.
-    pub median: f64,
-    /// Geometric standard deviation of the tokens: one answer in six is longer than `median * spread`.
-    pub spread: f64,
+    pub median_tokens: f64,
+    /// Geometric standard deviation of the tokens: one answer in six is longer than
+    /// `median_tokens * tokens_spread`.
+    pub tokens_spread: f64,
 }
 
 /// Answers that vary in length, at targets of two speeds: each third target is fast.
 #[derive(Clone, Copy)]
-pub struct Lengths {
-    /// All kinds of requests; their shares add up to 1.
-    pub kinds: &'static [Kind],
+pub struct AnswerLengths {
+    /// All kinds of requests; their fractions add up to 1.
+    pub kinds: &'static [RequestKind],
     /// Time to the first token at a fast and at a slow target, in ms.
-    pub first: [f64; 2],
+    pub first_token_ms: [f64; 2],
     /// Time for each token at a fast and at a slow target, in ms.
-    pub token: [f64; 2],
+    pub token_ms: [f64; 2],
 }
 
 /// A request whose answer has a length, and whether it was served.
 #[derive(Clone, Copy, Debug)]
-pub struct Sized {
-    /// Index of the request's kind in [`Lengths::kinds`].
+pub struct SizedRequest {
+    /// Index of the request's kind in [`AnswerLengths::kinds`].
     pub kind: usize,
     /// Tokens of the answer.
     pub tokens: f64,
@@ -127,15 +129,15 @@
 /// many times its length, and as many expect less than that fraction of it.
 const EXPECTED_TOKENS_SPREAD: f64 = 1.6;
 
-/// Fault that is injected. Kills begin one second after [`NAMED`].
+/// Fault that is injected. Kills begin one second after [`LIMITS_START_MS`].
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub enum Fault {
     /// Nothing fails.
     Nothing,
     /// No entry process ever reaches an agent.
-    AgentsAway,
-    /// The first entry process reaches no agent from [`NAMED`] on; the others do.
-    AgentsAwayFromOne,
+    AgentsUnreachable,
+    /// The first entry process reaches no agent from [`LIMITS_START_MS`] on; the others do.
+    AgentsUnreachableFromOne,
     /// All agents are killed, once a second.
     AgentsKilled,
     /// The entry processes are killed in turn, one each second.
@@ -174,15 +176,15 @@
     /// Number of the target.
     pub to: u16,
     /// Whether the entry process forwarded a rate limit of the target at least half a second before.
-    pub told: bool,
+    pub is_limit_forwarded: bool,
     /// Whether the request was dispatched before.
-    pub again: bool,
+    pub is_repeat: bool,
     /// Whether the target rejected the request.
-    pub rejected: bool,
+    pub is_rejected: bool,
 }
 
 /// State of a simulation, with what it counted.
-pub struct World {
+pub struct Simulation {
     site: Site,
     fault: Fault,
     /// Rate limits of targets by their number, in requests a second; other targets have none.
@@ -204,35 +206,35 @@
     /// Arrival time of each request that wasn't dispatched or refused yet, in ms.
     undispatched: BTreeMap<Ticket, u64>,
     /// Times at which requests arrived at entry processes, in order, in ms.
-    pub requests: Vec<u64>,
+    pub arrival_times_ms: Vec<u64>,
     /// Targets that reject requests; `None` if no target does.
-    pub shedding: Option<Shedding>,
+    pub rejections: Option<Rejections>,
     /// Kinds of answers; `None` if answers have no length.
-    lengths: Option<Lengths>,
+    lengths: Option<AnswerLengths>,
     /// Requests whose answers have a length.
-    pub sized: BTreeMap<Ticket, Sized>,
+    pub sized: BTreeMap<Ticket, SizedRequest>,
     /// Number of answers that reached their entry process.
     pub answered: usize,
     /// Time from arrival to the first dispatch of each request that was dispatched, in ms.
-    pub waits: Vec<u64>,
+    pub waits_ms: Vec<u64>,
     /// Number of requests that were refused without a dispatch.
     pub refused: usize,
     /// Time from which on killed agents are reachable again, in ms.
     agents_back: u64,
     random: StdRng,
     /// Current virtual time, in ms.
-    pub at: u64,
+    pub now_ms: u64,
     /// Ticket of the newest request.
     last_ticket: Ticket,
 }
 
 /// Returns the targets that the platform lists for a site.
 pub fn targets(site: Site) -> Vec<Target> {
-    let agent_address = |n| (site.agents == Agents::Beside).then(|| address(2_000 + n));
+    let agent_address = |n| (site.agents == Agents::AtTargets).then(|| address(2_000 + n));
     let mut targets: Vec<Target> = (0..site.targets)
         .map(|n| Target { slots: site.slots, agent_address: agent_address(n), ..target(n) })
         .collect();
-    if site.agents == Agents::Others {
+    if site.agents == Agents::AtOtherPool {
         targets.extend((500..503).map(|n| Target {
             pool: "models".into(),
             agent_address: Some(address(2_000 + n)),
@@ -258,18 +260,18 @@
     let mut settings = settings(number as u16 + 1);
     settings.incarnation = u64::from(incarnation) + 1;
     let state = direct::open(now.steady, settings);
-    let mut entry = Process { state, now, ..blank(number as u16 + 1) };
+    let mut entry = Process { state, now, ..empty_process(number as u16 + 1) };
     entry.send(Event::ConfigurationRead(configuration(1, routes, None).into()));
-    entry.confirm();
-    entry.list(targets(site));
+    entry.confirm_configuration();
+    entry.list_targets(targets(site));
     entry
 }
 
 /// Returns a simulation at time 0; `limits` are the rate limits of targets in requests a second, by target.
-pub fn world(site: Site, fault: Fault, limits: &[(u16, f64)]) -> World {
-    let now = blank(1).now;
+pub fn simulation(site: Site, fault: Fault, limits: &[(u16, f64)]) -> Simulation {
+    let now = empty_process(1).now;
     let entries = (0..site.entries).map(|number| entry(number, 0, site, now)).collect();
-    World {
+    Simulation {
         site,
         fault,
         limits: limits.iter().copied().collect(),
@@ -282,37 +284,37 @@
         limit_forwarded: BTreeMap::new(),
         arrivals: Vec::new(),
         undispatched: BTreeMap::new(),
-        requests: Vec::new(),
-        shedding: None,
+        arrival_times_ms: Vec::new(),
+        rejections: None,
         lengths: None,
         sized: BTreeMap::new(),
         answered: 0,
-        waits: Vec::new(),
+        waits_ms: Vec::new(),
         refused: 0,
         agents_back: 0,
         random: StdRng::seed_from_u64(7),
-        at: 0,
+        now_ms: 0,
         last_ticket: 0,
     }
 }
 
 /// Returns a simulation without faults and limits whose answers vary in length.
-pub fn world_of(site: Site, lengths: Lengths, seed: u64) -> World {
-    let mut world = world(site, Fault::Nothing, &[]);
-    let now = world.entries[0].now;
+pub fn simulation_of_lengths(site: Site, lengths: AnswerLengths, seed: u64) -> Simulation {
+    let mut simulation = simulation(site, Fault::Nothing, &[]);
+    let now = simulation.entries[0].now;
     let routes = lengths.kinds.iter().map(|kind| Route {
         rank: kind.rank,
-        target_latency: kind.aim,
-        timeout: kind.patience,
+        target_latency: kind.target_latency,
+        timeout: kind.timeout,
         ..route(kind.path, Repeat::Resumable)
     });
     let routes: Vec<_> = routes.collect();
     let entries =
         (0..site.entries).map(|number| entry_with_routes(number, 0, site, now, routes.clone()));
-    world.entries = entries.collect();
-    world.lengths = Some(lengths);
-    world.random = StdRng::seed_from_u64(seed);
-    world
+    simulation.entries = entries.collect();
+    simulation.lengths = Some(lengths);
+    simulation.random = StdRng::seed_from_u64(seed);
+    simulation
 }
 
 /// Draws from approximately the standard normal distribution: a sum of uniform draws of variance 1.
@@ -342,7 +344,7 @@
     agent::open_with(room, Policy { floor: 0.05, newest: true, ..Policy::first() })
 }
 
-impl World {
+impl Simulation {
     fn send(&mut self, index: usize, event: Event) {
         let effects = self.entries[index].send(event);
         self.carry_out(index, effects);
@@ -362,12 +364,12 @@
         for (ticket, _) in refusals(&effects) {
             self.refused += usize::from(self.undispatched.remove(&ticket).is_some());
         }
-        for start in starts(&effects) {
-            let (from, incarnation, ticket) = (index, self.incarnations[index], start.ticket);
+        for dispatch in dispatches(&effects) {
+            let (from, incarnation, ticket) = (index, self.incarnations[index], dispatch.ticket);
             let arrived = self.undispatched.remove(&ticket);
-            self.waits.extend(arrived.map(|arrived| self.at - arrived));
+            self.waits_ms.extend(arrived.map(|arrived| self.now_ms - arrived));
             let is_repeat = arrived.is_none();
-            let to = target_number(start.address);
+            let to = target_number(dispatch.address);
             let message = Message::Arrived { to, from, incarnation, ticket, is_repeat };
             self.schedule(MESSAGE_DELAY_MS, message);
         }
@@ -376,9 +378,9 @@
     /// Whether an entry process reaches the agents now.
     fn reaches_agents(&self, index: usize) -> bool {
         match self.fault {
-            Fault::AgentsAway => false,
-            Fault::AgentsAwayFromOne => index != 0 || self.at < NAMED,
-            _ => self.at >= self.agents_back,
+            Fault::AgentsUnreachable => false,
+            Fault::AgentsUnreachableFromOne => index != 0 || self.now_ms < LIMITS_START_MS,
+            _ => self.now_ms >= self.agents_back,
         }
     }
 
@@ -448,18 +450,26 @@
 
     /// Schedules the delivery of a message after a delay in ms.
     fn schedule(&mut self, delay_ms: u64, message: Message) {
-        self.in_flight.entry(self.at + delay_ms).or_default().push(message);
+        self.in_flight.entry(self.now_ms + delay_ms).or_default().push(message);
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Arrived { to, from, incarnation, ticket, is_repeat } => {
                 let forwarded = self.limit_forwarded.get(&(from, to));
-                let told = forwarded.is_some_and(|&at| at + LIMIT_GRACE_MS <= self.at);
-                let shed = self.shedding.filter(|shedding| to < shedding.targets);
-                let rejected = shed.is_some_and(|shed| self.random.random_bool(shed.share));
-                self.arrivals.push(Arrival { at: self.at, to, told, again: is_repeat, rejected });
-                if rejected {
+                let is_limit_forwarded =
+                    forwarded.is_some_and(|&at| at + LIMIT_GRACE_MS <= self.now_ms);
+                let rejecting = self.rejections.filter(|rejections| to < rejections.targets);
+                let is_rejected =
+                    rejecting.is_some_and(|rejecting| self.random.random_bool(rejecting.fraction));
+                self.arrivals.push(Arrival {
+                    at: self.now_ms,
+                    to,
+                    is_limit_forwarded,
+                    is_repeat,
+                    is_rejected,
+                });
+                if is_rejected {
                     let message = Message::Rejected { from, incarnation, ticket };
                     return self.schedule(MESSAGE_DELAY_MS, message);
                 }
@@ -470,15 +480,15 @@
             Message::Answered { to, from, incarnation, ticket }
                 if self.incarnations[from] == incarnation =>
             {
-                let states_limit = (NAMED..LIFTED).contains(&self.at);
+                let states_limit = (LIMITS_START_MS..LIMITS_END_MS).contains(&self.now_ms);
                 if let Some(&per_second) = self.limits.get(&to).filter(|_| states_limit) {
-                    self.limit_forwarded.entry((from, to)).or_insert(self.at);
+                    self.limit_forwarded.entry((from, to)).or_insert(self.now_ms);
                     self.send(from, Event::RateLimitStated { ticket, per_second });
                 }
                 self.answered += 1;
                 self.send(from, Event::AnswerBegan { ticket });
                 let sized = self.sized.get_mut(&ticket);
-                let is_expired = sized.as_ref().is_some_and(|sized| sized.deadline <= self.at);
+                let is_expired = sized.as_ref().is_some_and(|sized| sized.deadline <= self.now_ms);
                 sized.into_iter().for_each(|sized| sized.served = !is_expired);
                 let outcome =
                     if is_expired { Outcome::DeadlineExceeded } else { Outcome::Completed };
@@ -507,47 +517,48 @@
     /// its deadline at the latest.
     fn service_time_ms(&mut self, to: u16, ticket: Ticket) -> u64 {
         let (Some(lengths), Some(sized)) = (self.lengths, self.sized.get(&ticket)) else {
-            return self.site.held / 2 + self.random.random_range(0..self.site.held);
+            return self.site.mean_service_ms / 2
+                + self.random.random_range(0..self.site.mean_service_ms);
         };
         let speed = usize::from(!is_fast(to));
-        let needed_ms = lengths.first[speed] + sized.tokens * lengths.token[speed];
-        (needed_ms as u64).min(sized.deadline.saturating_sub(self.at))
+        let needed_ms = lengths.first_token_ms[speed] + sized.tokens * lengths.token_ms[speed];
+        (needed_ms as u64).min(sized.deadline.saturating_sub(self.now_ms))
     }
 
     /// Advances the simulation by one millisecond.
-    pub fn pass(&mut self) {
-        self.at += 1;
+    pub fn step(&mut self) {
+        self.now_ms += 1;
         for entry in &mut self.entries {
             entry.now.steady += Duration::from_millis(1);
             entry.now.boot += Duration::from_millis(1);
         }
-        for message in self.in_flight.remove(&self.at).unwrap_or_default() {
+        for message in self.in_flight.remove(&self.now_ms).unwrap_or_default() {
             self.deliver(message);
         }
         let period_ms = exchange_period(self.site.entries - 1).as_millis() as u64;
         for index in 0..self.site.entries {
-            if self.at % period_ms == index as u64 * period_ms / self.site.entries as u64 {
+            if self.now_ms % period_ms == index as u64 * period_ms / self.site.entries as u64 {
                 self.broadcast_row(index);
             }
-            if self.at % TICK_MS == index as u64 % TICK_MS {
+            if self.now_ms % TICK_MS == index as u64 % TICK_MS {
                 self.send(index, Event::Tick);
             }
         }
-        if self.at.is_multiple_of(TICK_MS) {
+        if self.now_ms.is_multiple_of(TICK_MS) {
             let agents: Vec<_> = self.agents.keys().copied().collect();
             agents.into_iter().for_each(|agent| self.send_to_agent(agent, agent::Event::Tick));
         }
-        if self.at > NAMED && self.at.is_multiple_of(1_000) {
+        if self.now_ms > LIMITS_START_MS && self.now_ms.is_multiple_of(1_000) {
             self.inject_fault();
         }
-        if self.random.random_bool(self.site.load / 1_000.0) {
+        if self.random.random_bool(self.site.requests_per_second / 1_000.0) {
             self.generate_request();
         }
     }
 
     /// Changes the requests a second and their kinds from now on.
-    pub fn ask(&mut self, load: f64, kinds: &'static [Kind]) {
-        self.site.load = load;
+    pub fn set_load(&mut self, load: f64, kinds: &'static [RequestKind]) {
+        self.site.requests_per_second = load;
         if let Some(lengths) = &mut self.lengths {
             lengths.kinds = kinds;
         }
@@ -555,10 +566,10 @@
 
     /// Runs the simulation without new requests until the deadlines of all requests have passed.
     pub fn finish(&mut self) {
-        self.site.load = 0.0;
+        self.site.requests_per_second = 0.0;
         let last = self.sized.values().map(|sized| sized.deadline).max().unwrap_or_default();
-        while self.at <= last + MESSAGE_DELAY_MS {
-            self.pass();
+        while self.now_ms <= last + MESSAGE_DELAY_MS {
+            self.step();
         }
     }
 
@@ -566,17 +577,17 @@
     fn inject_fault(&mut self) {
         match self.fault {
             Fault::AgentsKilled => self.kill_agents(),
-            Fault::AllKilled if self.at.is_multiple_of(3_000) => {
+            Fault::AllKilled if self.now_ms.is_multiple_of(3_000) => {
                 (0..self.site.entries).for_each(|index| self.kill(index));
             }
-            Fault::EntriesKilled => self.kill((self.at / 1_000) as usize % self.site.entries),
+            Fault::EntriesKilled => self.kill((self.now_ms / 1_000) as usize % self.site.entries),
             _ => {}
         }
     }
 
     /// Kills all agents: their state is lost, and waiting reservations end.
     fn kill_agents(&mut self) {
-        self.agents_back = self.at + AGENT_RESTART_MS;
+        self.agents_back = self.now_ms + AGENT_RESTART_MS;
         self.agents.clear();
         self.reservations.clear();
         for key in std::mem::take(&mut self.waiting) {
@@ -599,7 +610,7 @@
 
     /// Confirms the configuration to an entry process and sends its row to all others.
     fn broadcast_row(&mut self, from: usize) {
-        self.entries[from].confirm();
+        self.entries[from].confirm_configuration();
         let now = self.entries[from].now.steady;
         let row = self.entries[from].state.next_row(now);
         for to in (0..self.site.entries).filter(|&to| to != from) {
@@ -610,8 +621,8 @@
     /// Sends a new request to a random entry process.
     fn generate_request(&mut self) {
         self.last_ticket += 1;
-        self.undispatched.insert(self.last_ticket, self.at);
-        self.requests.push(self.at);
+        self.undispatched.insert(self.last_ticket, self.now_ms);
+        self.arrival_times_ms.push(self.now_ms);
         let mut request = match self.lengths {
             Some(lengths) => self.draw_sized_request(lengths),
             None => request(self.last_ticket, "/call/"),
@@ -622,19 +633,23 @@
     }
 
     /// Draws the kind, the tokens and the expected tokens of a request.
-    fn draw_sized_request(&mut self, lengths: Lengths) -> Request {
+    fn draw_sized_request(&mut self, lengths: AnswerLengths) -> Request {
         let mut left = self.random.random::<f64>();
         let drawn = lengths.kinds.iter().position(|kind| {
-            left -= kind.share;
+            left -= kind.fraction;
             left < 0.0
         });
         let index = drawn.unwrap_or(lengths.kinds.len() - 1);
         let kind = lengths.kinds[index];
-        let tokens = (kind.median * kind.spread.powf(normal(&mut self.random))).max(1.0);
+        let tokens =
+            (kind.median_tokens * kind.tokens_spread.powf(normal(&mut self.random))).max(1.0);
         let expected = tokens * EXPECTED_TOKENS_SPREAD.powf(normal(&mut self.random));
-        let deadline = self.at + kind.patience.as_millis() as u64;
-        self.sized.insert(self.last_ticket, Sized { kind: index, tokens, deadline, served: false });
-        let patience = Some(kind.patience);
+        let deadline = self.now_ms + kind.timeout.as_millis() as u64;
+        self.sized.insert(
+            self.last_ticket,
+            SizedRequest { kind: index, tokens, deadline, served: false },
+        );
+        let patience = Some(kind.timeout);
         let expected = Some(expected.max(1.0) as u32);
         Request {
             timeout: patience,
@@ -645,7 +660,7 @@
 
     /// Returns the fraction of a kind's requests that were served, among those whose answer length lies in a
     /// range of quantiles: 0 is the shortest answer, 1 the longest.
-    pub fn served(&self, kind: usize, range: Range<f64>) -> f64 {
+    pub fn served_fraction(&self, kind: usize, range: Range<f64>) -> f64 {
         let mut sized: Vec<_> = self.sized.values().filter(|sized| sized.kind == kind).collect();
         sized.sort_by(|a, b| a.tokens.total_cmp(&b.tokens));
         let index = |quantile: f64| (quantile * sized.len() as f64) as usize;
@@ -653,21 +668,22 @@
         sized.iter().filter(|sized| sized.served).count() as f64 / sized.len() as f64
     }
 
-    /// Returns the largest number of requests that a target got in any [`WINDOW`] while its limit is checked,
-    /// among those for which `is_counted` returns true.
-    pub fn most(&self, to: u16, is_counted: impl Fn(&Arrival) -> bool) -> usize {
-        let checked = NAMED + STABLE..LIFTED;
+    /// Returns the largest number of requests that a target got in any [`COUNT_WINDOW_MS`] while its limit is
+    /// checked, among those for which `is_counted` returns true.
+    pub fn max_arrivals_in_window(&self, to: u16, is_counted: impl Fn(&Arrival) -> bool) -> usize {
+        let checked = LIMITS_START_MS + LIMIT_CHECK_DELAY_MS..LIMITS_END_MS;
         let counted = self.arrivals.iter().filter(|arrival| {
             arrival.to == to && checked.contains(&arrival.at) && is_counted(arrival)
         });
         let times: Vec<u64> = counted.map(|arrival| arrival.at).collect();
-        let within =
-            |start: u64| times.iter().filter(|&&at| (start..start + WINDOW).contains(&at)).count();
+        let within = |start: u64| {
+            times.iter().filter(|&&at| (start..start + COUNT_WINDOW_MS).contains(&at)).count()
+        };
         times.iter().map(|&start| within(start)).max().unwrap_or_default()
     }
 
     /// Returns the requests a second that a target got in a range of virtual time in ms.
-    pub fn rate(&self, to: u16, time: Range<u64>) -> f64 {
+    pub fn arrival_rate(&self, to: u16, time: Range<u64>) -> f64 {
         let arrivals = self.arrivals.iter();
         let count =
             arrivals.filter(|arrival| arrival.to == to && time.contains(&arrival.at)).count();
--- a/components/scheduler/tests/direct_target_limits.rs
+++ b/components/scheduler/tests/direct_target_limits.rs
@@ -9,46 +9,73 @@
 use std::time::Duration;
 
 use direct_support::{
-    blank, request,
-    site::{Agents, END, Fault, LIFTED, NAMED, STABLE, Site, WINDOW, World, entry, targets, world},
-    starts, target,
+    dispatches, empty_process, request,
+    site::{
+        Agents, COUNT_WINDOW_MS, END_MS, Fault, LIMIT_CHECK_DELAY_MS, LIMITS_END_MS,
+        LIMITS_START_MS, Simulation, Site, entry, simulation, targets,
+    },
+    target,
 };
 use model::id::TargetName;
 use scheduler::direct::{Event, Outcome, Target};
 use test_case::test_case;
 
 /// Few entry processes, but more than a target has slots, and an own agent for each target.
-const SMALL: Site =
-    Site { entries: 5, targets: 9, slots: 4, held: 250, load: 60.0, agents: Agents::Beside };
+const SMALL: Site = Site {
+    entries: 5,
+    targets: 9,
+    slots: 4,
+    mean_service_ms: 250,
+    requests_per_second: 60.0,
+    agents: Agents::AtTargets,
+};
 /// Many entry processes and an own agent for each target.
-const LARGE: Site =
-    Site { entries: 31, targets: 20, slots: 5, held: 250, load: 200.0, agents: Agents::Beside };
+const LARGE: Site = Site {
+    entries: 31,
+    targets: 20,
+    slots: 5,
+    mean_service_ms: 250,
+    requests_per_second: 200.0,
+    agents: Agents::AtTargets,
+};
 /// So few entry processes that they share the slots by rows and don't use the targets' own agents.
 const FEW: Site = Site { entries: 3, ..SMALL };
 /// Few entry processes and targets without agents, besides targets of another pool that have agents.
-const PLAIN: Site =
-    Site { entries: 3, targets: 3, slots: 6, held: 60, load: 40.0, agents: Agents::Others };
+const PLAIN: Site = Site {
+    entries: 3,
+    targets: 3,
+    slots: 6,
+    mean_service_ms: 60,
+    requests_per_second: 40.0,
+    agents: Agents::AtOtherPool,
+};
 /// Many entry processes and targets without agents, besides targets of another pool that have agents.
-const PLAIN_LARGE: Site =
-    Site { entries: 31, targets: 5, slots: 6, held: 60, load: 150.0, agents: Agents::Others };
+const PLAIN_LARGE: Site = Site {
+    entries: 31,
+    targets: 5,
+    slots: 6,
+    mean_service_ms: 60,
+    requests_per_second: 150.0,
+    agents: Agents::AtOtherPool,
+};
 /// Few entry processes and no agents at all.
-const NO_AGENTS: Site = Site { agents: Agents::Nowhere, ..PLAIN };
+const NO_AGENTS: Site = Site { agents: Agents::Absent, ..PLAIN };
 /// Many entry processes and no agents at all.
-const NO_AGENTS_LARGE: Site = Site { agents: Agents::Nowhere, ..PLAIN_LARGE };
+const NO_AGENTS_LARGE: Site = Site { agents: Agents::Absent, ..PLAIN_LARGE };
 
 /// Simulates a deployment in which these targets name these limits, in requests per second.
-fn simulate(site: Site, fault: Fault, limits: &[(u16, f64)]) -> World {
-    let mut world = world(site, fault, limits);
-    while world.at < END {
-        world.pass();
+fn simulate(site: Site, fault: Fault, limits: &[(u16, f64)]) -> Simulation {
+    let mut simulation = simulation(site, fault, limits);
+    while simulation.now_ms < END_MS {
+        simulation.step();
     }
-    world
+    simulation
 }
 
 /// Returns the maximum number of requests that a target with this limit may get in a window: 1.5 times the
 /// limit, plus 5.
 fn max_requests(limit: f64) -> usize {
-    (1.5 * limit * WINDOW as f64 / 1_000.0 + 5.0) as usize
+    (1.5 * limit * COUNT_WINDOW_MS as f64 / 1_000.0 + 5.0) as usize
 }
 
 /// Returns the name of the target of this number.
@@ -66,10 +93,10 @@
 #[test_case(PLAIN_LARGE, Fault::Nothing, 3.0; "plain services at many processes")]
 #[test_case(NO_AGENTS, Fault::Nothing, 3.0; "plain services without agents")]
 #[test_case(NO_AGENTS_LARGE, Fault::Nothing, 3.0; "no agents at many processes")]
-#[test_case(SMALL, Fault::AgentsAway, 2.0; "unreachable agents")]
-#[test_case(LARGE, Fault::AgentsAway, 2.0; "unreachable agents at many processes")]
-#[test_case(SMALL, Fault::AgentsAwayFromOne, 2.0; "agents that one process cannot reach")]
-#[test_case(LARGE, Fault::AgentsAwayFromOne, 2.0; "agents that one of many cannot reach")]
+#[test_case(SMALL, Fault::AgentsUnreachable, 2.0; "unreachable agents")]
+#[test_case(LARGE, Fault::AgentsUnreachable, 2.0; "unreachable agents at many processes")]
+#[test_case(SMALL, Fault::AgentsUnreachableFromOne, 2.0; "agents that one process cannot reach")]
+#[test_case(LARGE, Fault::AgentsUnreachableFromOne, 2.0; "agents that one of many cannot reach")]
 #[test_case(SMALL, Fault::AgentsKilled, 2.0; "agents killed in series")]
 #[test_case(LARGE, Fault::AgentsKilled, 2.0; "agents killed in series at many processes")]
 #[test_case(SMALL, Fault::EntriesKilled, 2.0; "processes killed in series")]
@@ -80,11 +107,11 @@
     fault: Fault,
     limit: f64,
 ) {
-    let world = simulate(site, fault, &[(0, limit), (1, limit)]);
+    let simulation = simulate(site, fault, &[(0, limit), (1, limit)]);
 
     for to in 0..2 {
-        let informed = world.most(to, |arrival| arrival.told);
-        let all = world.most(to, |_| true);
+        let informed = simulation.max_arrivals_in_window(to, |arrival| arrival.is_limit_forwarded);
+        let all = simulation.max_arrivals_in_window(to, |_| true);
         assert!(
             informed <= max_requests(limit),
             "{}: {informed} of {} from informed processes",
@@ -107,11 +134,11 @@
 #[test_case(PLAIN_LARGE, 3.0; "plain services at many processes")]
 #[test_case(NO_AGENTS, 3.0; "plain services without agents")]
 fn requests_beyond_the_limit_of_a_target_go_to_other_targets(site: Site, limit: f64) {
-    let world = simulate(site, Fault::Nothing, &[(0, limit)]);
+    let simulation = simulate(site, Fault::Nothing, &[(0, limit)]);
 
-    let slow = world.waits.iter().filter(|&&wait| wait > 100).count();
-    assert_eq!(world.refused, 0);
-    assert!(slow * 50 < world.waits.len(), "{slow} of {}", world.waits.len());
+    let slow = simulation.waits_ms.iter().filter(|&&wait| wait > 100).count();
+    assert_eq!(simulation.refused, 0);
+    assert!(slow * 50 < simulation.waits_ms.len(), "{slow} of {}", simulation.waits_ms.len());
 }
 
 /// Guards against limits that remain in force after the target has ceased to name them.
@@ -121,27 +148,29 @@
 #[test_case(PLAIN, 3.0; "plain services")]
 #[test_case(NO_AGENTS, 3.0; "plain services without agents")]
 fn a_target_that_ceases_to_name_a_limit_gets_its_share_of_requests_again(site: Site, limit: f64) {
-    let world = simulate(site, Fault::Nothing, &[(0, limit)]);
+    let simulation = simulate(site, Fault::Nothing, &[(0, limit)]);
 
-    let (limited, after) =
-        (world.rate(0, NAMED + STABLE..LIFTED), world.rate(0, LIFTED + 4_000..END));
+    let (limited, after) = (
+        simulation.arrival_rate(0, LIMITS_START_MS + LIMIT_CHECK_DELAY_MS..LIMITS_END_MS),
+        simulation.arrival_rate(0, LIMITS_END_MS + 4_000..END_MS),
+    );
     assert!(limited <= 1.5 * limit, "{limited}");
-    assert!(after >= 0.5 * site.load / f64::from(site.targets), "{after}");
+    assert!(after >= 0.5 * site.requests_per_second / f64::from(site.targets), "{after}");
 }
 
 /// Guards against limits that remain in force after the target that named them has restarted.
 #[test]
 fn a_restart_of_a_target_lifts_its_limit() {
-    let mut entry = entry(0, 0, NO_AGENTS, blank(1).now);
-    let start = starts(&entry.arrive(request(1, "/call/"))).remove(0);
+    let mut entry = entry(0, 0, NO_AGENTS, empty_process(1).now);
+    let dispatch = dispatches(&entry.arrive(request(1, "/call/"))).remove(0);
     entry.send(Event::RateLimitStated { ticket: 1, per_second: 1.0 });
     let limited = entry.state.limited_targets();
 
     let restarted = targets(NO_AGENTS).into_iter().map(|target| {
-        let incarnation = if target.name == start.target { 2 } else { 1 };
+        let incarnation = if target.name == dispatch.target { 2 } else { 1 };
         Target { incarnation, ..target }
     });
-    entry.list(restarted.collect());
+    entry.list_targets(restarted.collect());
 
     assert_eq!((limited, entry.state.limited_targets()), (1, 0));
 }
@@ -150,7 +179,7 @@
 #[test]
 fn each_process_gets_its_turn_at_a_limited_target_while_others_send_nothing() {
     let site = Site { entries: 2, targets: 1, ..NO_AGENTS };
-    let now = blank(1).now;
+    let now = empty_process(1).now;
     let mut turns = Vec::new();
     for number in 0..2 {
         let mut entry = entry(number, 0, site, now);
@@ -158,15 +187,15 @@
         entry.arrive(request(1, "/call/"));
         entry.send(Event::RateLimitStated { ticket: 1, per_second: 10.0 });
         for second in 1..=10 {
-            entry.pass(Duration::from_secs(1));
-            other.pass(Duration::from_secs(1));
-            other.confirm();
-            entry.confirm();
+            entry.advance(Duration::from_secs(1));
+            other.advance(Duration::from_secs(1));
+            other.confirm_configuration();
+            entry.confirm_configuration();
             entry.send(Event::RowsReceived(vec![other.state.next_row(other.now.steady)]));
             let effects = entry.arrive(request(1 + second, "/call/"));
-            if !starts(&effects).is_empty() {
+            if !dispatches(&effects).is_empty() {
                 turns.push((number, second));
-                entry.end(1 + second, Outcome::Incomplete { crashed: false });
+                entry.end_dispatch(1 + second, Outcome::Incomplete { crashed: false });
             }
         }
     }
