--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -18,7 +18,7 @@
 };
 
 /// Returns whether the platform hasn't answered for so long that this counts as an outage.
-fn is_silent(answered: Option<Duration>, now: Now) -> bool {
+fn is_outage(answered: Option<Duration>, now: Now) -> bool {
     answered.is_none_or(|at| now.boot.saturating_sub(at) > OUTAGE_THRESHOLD)
 }
 
@@ -50,7 +50,7 @@
     /// Records that the platform answered a read of any kind: a single read of a large configuration may
     /// take longer than the time without an answer that counts as an outage.
     fn record_platform_answer(&mut self, now: Now) {
-        if is_silent(self.platform_answered, now) {
+        if is_outage(self.platform_answered, now) {
             self.outage_ended = Some(now.steady);
         }
         self.platform_answered = Some(now.boot);
