--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -186,7 +186,7 @@
         /// Requests per second that the target accepts from all processes together; not negative.
         per_second: f64,
     },
-    /// The target of a dispatch has sent nothing for as long as the [`Start`] allows; the dispatch still
+    /// The target of a dispatch has sent nothing for as long as the [`Dispatch`] allows; the dispatch still
     /// waits for the answer.
     TargetUnresponsive {
         /// Request whose target is unresponsive.
