--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -17,9 +17,9 @@
 use metrics::Gateway;
 use rustix::time::{ClockId, clock_gettime};
 use scheduler::direct::{
-    self, Effect, Event, Introduction, Now, Outcome, Refusal, Request, Start, State, Ticket,
+    self, Dispatch, Effect, Event, Now, Outcome, Refusal, Registration, Request, State, Ticket,
     peers::{self, Row},
-    plan::Plan,
+    plan::Configuration,
     relay::Topic,
     rollout::Report,
 };
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub enum Order {
     /// Dispatch it.
-    Start(Start),
+    Start(Dispatch),
     /// Close its dispatch, so that another target gets it.
     Leave,
     /// End it with an answer of our own.
@@ -89,7 +89,7 @@
     /// Other entry processes that may be alive.
     pub peers: Vec<SocketAddr>,
     /// The configuration in force.
-    pub plan: Option<Arc<Plan>>,
+    pub plan: Option<Arc<Configuration>>,
     /// What the platform's service is to be told of roll-outs.
     pub reports: Vec<Report>,
     /// Number of this process among those that may tell it.
@@ -184,8 +184,8 @@
 
     /// Hears of entry processes that may be alive.
     pub fn introduce(&self, seeds: &[SocketAddr]) {
-        let seeds = seeds.iter().map(|&address| Introduction { address, stamp: 0 });
-        self.send(Event::Introduced(seeds.collect()));
+        let seeds = seeds.iter().map(|&address| Registration { address, stamp: 0 });
+        self.send(Event::PeersDiscovered(seeds.collect()));
     }
 
     /// A number for a new request.
@@ -243,7 +243,7 @@
     }
 
     /// The configuration in force.
-    pub fn plan(&self) -> Option<Arc<Plan>> {
+    pub fn plan(&self) -> Option<Arc<Configuration>> {
         self.status.borrow().plan.clone()
     }
 }
@@ -260,7 +260,7 @@
                     None => return,
                 },
                 () = sleep_until(exchange.into()) => {
-                    exchange = Instant::now() + peers::period(self.links.len());
+                    exchange = Instant::now() + peers::exchange_period(self.links.len());
                     self.exchange();
                 }
                 () = sleep_until(wake.into()) => self.reduce(Event::Tick),
@@ -274,7 +274,7 @@
                 if matches!(event, Event::Drain { .. }) {
                     self.recorder.draining();
                 }
-                if let Event::Left { ticket, events } = event {
+                if let Event::CallerDisconnected { ticket, events } = event {
                     self.left(ticket, events);
                     self.recorder.left(ticket);
                     self.forget(ticket);
@@ -285,7 +285,7 @@
                 self.orders.insert(request.ticket, orders);
                 self.ids.insert(request.ticket, request.id.clone());
                 self.recorder.arrived(request.ticket, &request.id);
-                self.reduce(Event::Arrived(request));
+                self.reduce(Event::RequestReceived(request));
             }
             Message::Answered(ticket, digest) => self.recorder.answered(ticket, digest),
             Message::Close(done) => {
@@ -294,9 +294,9 @@
             }
             Message::Exchange { told: Told { rows, all, offer }, reply } => {
                 let peer = rows.first().and_then(|row| row.address);
-                self.reduce(Event::Heard(rows));
+                self.reduce(Event::RowsReceived(rows));
                 if let Some(peer) = peer {
-                    self.reduce(Event::Offered { peer, offer });
+                    self.reduce(Event::PeerOffered { peer, offer });
                 }
                 let offer = self.state.offer(now());
                 let _ = reply.send(Answer { rows: self.rows(all), offer });
@@ -304,8 +304,8 @@
             Message::Give { topic, reply } => {
                 let (state, now) = (&self.state, now());
                 // The default where it isn't offered, which is the version of nothing that was packed.
-                let version = state.offer(now).known.of(topic);
-                let given = self.links.give(topic, version, || state.news(now, topic));
+                let version = state.offer(now).known.version(topic);
+                let given = self.links.give(topic, version, || state.topic_data(now, topic));
                 let _ = reply.send(given);
             }
             Message::Reserved(event) => {
@@ -316,14 +316,14 @@
             }
             Message::Done(Done::Exchanged(peer, answer)) => {
                 if let Some(Answer { rows, offer }) = self.links.exchanged(peer, answer) {
-                    self.reduce(Event::Heard(rows));
-                    self.reduce(Event::Offered { peer, offer });
+                    self.reduce(Event::RowsReceived(rows));
+                    self.reduce(Event::PeerOffered { peer, offer });
                 }
             }
             Message::Done(Done::Fetched(peer, topic, fetched)) => {
                 record::fetched(peer, topic, &fetched);
-                let news = fetched.ok().map(|fetched| fetched.news);
-                self.reduce(Event::Fetched { peer, topic, news });
+                let data = fetched.ok().map(|fetched| fetched.news);
+                self.reduce(Event::Fetched { peer, topic, data });
             }
         }
     }
@@ -331,11 +331,11 @@
     fn reduce(&mut self, event: Event) {
         let now = now();
         self.observe(now.steady, &event);
-        if let Event::Ended { ticket, outcome, .. } = event {
+        if let Event::DispatchEnded { ticket, outcome, .. } = event {
             self.recorder.ran(ticket, outcome);
         }
         let ended = match &event {
-            Event::Ended { ticket, outcome: Outcome::Done, .. } => Some(*ticket),
+            Event::DispatchEnded { ticket, outcome: Outcome::Completed, .. } => Some(*ticket),
             _ => None,
         };
         for effect in direct::reduce(&mut self.state, now, event) {
@@ -354,7 +354,7 @@
         let Some(id) = self.ids.get(&ticket) else {
             return;
         };
-        let view = self.state.view(ticket, Instant::now());
+        let view = self.state.dispatch_view(ticket, Instant::now());
         let after_ms = view.map(|view| view.waited.as_millis() as u64);
         info!(request = id, dispatched = view.is_some(), events, after_ms, "its caller left");
     }
@@ -362,28 +362,32 @@
     /// Logs and counts what happened to a dispatch.
     fn observe(&self, now: Instant, event: &Event) {
         match event {
-            Event::Began { ticket } => {
-                if let Some(view) = self.state.view(*ticket, now) {
+            Event::AnswerBegan { ticket } => {
+                if let Some(view) = self.state.dispatch_view(*ticket, now) {
                     self.metrics.first(view.tier, view.running_for);
                 }
             }
-            Event::Quiet { ticket, begun } => {
-                if let Some(view) = self.state.view(*ticket, now).filter(|view| !view.seeks) {
+            Event::TargetUnresponsive { ticket, begun } => {
+                if let Some(view) =
+                    self.state.dispatch_view(*ticket, now).filter(|view| !view.is_seeking)
+                {
                     record::quiet(&view, *begun);
                 }
             }
-            Event::Spoke { ticket } => {
-                if let Some(view) = self.state.view(*ticket, now).filter(|view| view.seeks) {
+            Event::TargetResumed { ticket } => {
+                if let Some(view) =
+                    self.state.dispatch_view(*ticket, now).filter(|view| view.is_seeking)
+                {
                     record::spoke(&view);
                 }
             }
-            Event::Ended { ticket, outcome, begun, events } => {
-                if let Some(view) = self.state.view(*ticket, now) {
+            Event::DispatchEnded { ticket, outcome, begun, events } => {
+                if let Some(view) = self.state.dispatch_view(*ticket, now) {
                     record::ended(&view, *outcome, *begun, *events);
                     self.metrics.ended(record::name(*outcome));
-                    if *outcome == Outcome::Done {
+                    if *outcome == Outcome::Completed {
                         self.metrics.whole(view.account, view.waited);
-                        self.metrics.sized(view.tier, view.expected, true);
+                        self.metrics.sized(view.tier, view.expected_tokens, true);
                     }
                 }
             }
@@ -393,24 +397,24 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Start(start) => {
-                self.recorder.started(&start);
-                if let Some(orders) = self.orders.get(&start.ticket) {
-                    let _ = orders.send(Order::Start(start));
+            Effect::Dispatch(dispatch) => {
+                self.recorder.started(&dispatch);
+                if let Some(orders) = self.orders.get(&dispatch.ticket) {
+                    let _ = orders.send(Order::Start(dispatch));
                 }
             }
-            Effect::Leave { ticket, .. } => {
+            Effect::CancelDispatch { ticket, .. } => {
                 if let Some(orders) = self.orders.get(&ticket) {
                     let _ = orders.send(Order::Leave);
                 }
             }
-            Effect::Refuse { ticket, refusal, grounds } => {
+            Effect::Refuse { ticket, refusal, context } => {
                 let id = self.ids.get(&ticket).map(String::as_str).unwrap_or_default();
-                record::refused(id, &refusal, &grounds, self.state.open_requests());
+                record::refused(id, &refusal, &context, self.state.open_requests());
                 self.recorder.refused(ticket, &refusal);
                 self.end(ticket, Order::Refuse(refusal));
             }
-            Effect::Pass { ticket } => {
+            Effect::PassFailure { ticket } => {
                 self.recorder.passed(ticket);
                 self.end(ticket, Order::Pass);
             }
@@ -424,8 +428,8 @@
             }
             Effect::Fetch { peer, topic } => self.links.fetch(peer, topic),
             Effect::Reserve(reservation) => self.agents.reserve(reservation),
-            Effect::Withdraw { ticket, number } => self.agents.withdraw(ticket, number),
-            Effect::Note(_) => {}
+            Effect::WithdrawReservation { ticket, number } => self.agents.withdraw(ticket, number),
+            Effect::Log(_) => {}
         }
     }
 
@@ -446,12 +450,12 @@
         self.metrics.open.set(self.state.open_requests() as i64);
         let list_age = self.state.list_age(Instant::now());
         self.metrics.list_age.set(list_age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
-        let lonely = self.state.is_lonely(Instant::now());
+        let lonely = self.state.is_missing_peers(Instant::now());
         let peers = || self.state.peers();
-        let plan = self.state.plan_in_force();
-        let (reports, turn) = (self.state.reports(), self.state.turn());
+        let plan = self.state.configuration_in_force();
+        let (reports, turn) = (self.state.reports(), self.state.report_delay_turns());
         self.status.send_if_modified(|status| {
-            let version = |plan: Option<&Arc<Plan>>| plan.map(|plan| plan.version);
+            let version = |plan: Option<&Arc<Configuration>>| plan.map(|plan| plan.version);
             let changed = (status.ready, status.lonely) != (ready, lonely)
                 || version(status.plan.as_ref()) != version(plan)
                 || (status.turn, &status.reports) != (turn, &reports)
@@ -465,16 +469,16 @@
     }
 
     fn rows(&mut self, all: bool) -> Vec<Row> {
-        let mut rows = vec![self.state.row(Instant::now())];
+        let mut rows = vec![self.state.next_row(Instant::now())];
         if all {
-            rows.extend(self.state.rows(Instant::now()));
+            rows.extend(self.state.peer_rows(Instant::now()));
         }
         rows
     }
 
     /// Measures what every other process is told with each exchange.
     fn measure(&mut self, now: Instant) {
-        match postcard::to_stdvec(&self.state.row(now)) {
+        match postcard::to_stdvec(&self.state.next_row(now)) {
             Ok(row) => drop(self.metrics.row_bytes.set(row.len() as i64)),
             Err(error) => error!(%error, "the own row can't be packed"),
         }
@@ -489,10 +493,10 @@
         self.measure(now.steady);
         let teller = peers.partition_point(|&address| address < self.own);
         for (place, address) in peers.into_iter().enumerate() {
-            if address < self.own && self.state.hears(now.steady, address) {
+            if address < self.own && self.state.is_row_current(now.steady, address) {
                 continue;
             }
-            let all = peers::tells_all(self.exchanges, teller, place);
+            let all = peers::sends_all_rows(self.exchanges, teller, place);
             let told = Told { rows: self.rows(all), all, offer: self.state.offer(now) };
             self.links.exchange(address, told);
         }
--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -1,96 +1,104 @@
-//! Admission of requests: routing, authentication, and claims on account quotas.
+//! Admission of requests: routing, authentication, and units of the accounts' limits.
 
 use std::time::Duration;
 
 use model::id::AccountName;
 
 use super::{
-    PATIENCE, PROMOTE_PART, RETRY, State, WAIT_MIN, WAIT_PART, allowance,
-    event::{Effect, Grounds, Now, Reason, Refusal, Request},
-    pending::{Charge, Pending, Stage},
-    plan::Plan,
-    refuse,
+    DEFAULT_TIMEOUT, MAX_WAIT_FLOOR, MAX_WAIT_SHARE, NOT_READY_RETRY_AFTER, PROMOTION_SHARE, State,
+    allowance,
+    event::{Effect, Now, Refusal, RefusalContext, RefusalReason, Request},
+    pending::{PendingRequest, RetryCharge, Stage},
+    plan::Configuration,
+    refusal,
 };
 
 impl State {
     /// Handles a request that arrived whole: queues it, or refuses it with the reason.
-    pub(super) fn arrive(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_arrival(&mut self, now: Now, request: Request, effects: &mut Vec<Effect>) {
         let ticket = request.ticket;
-        let mut grounds = Box::<Grounds>::default();
-        match self.admit(now, request, &mut grounds) {
+        let mut context = Box::<RefusalContext>::default();
+        match self.admit(now, request, &mut context) {
             Ok(pending) => {
                 self.requests.insert(ticket, pending);
                 self.enqueue(ticket);
-                self.refuse_hopeless(now.steady, ticket, effects);
+                self.refuse_if_units_too_late(now.steady, ticket, effects);
             }
-            Err(refusal) => effects.push(Effect::Refuse { ticket, refusal, grounds }),
+            Err(refusal) => effects.push(Effect::Refuse { ticket, refusal, context }),
         }
     }
 
-    /// Returns the request's initial state, or why it is refused. Fills `grounds`, the log record of a
+    /// Returns the request's initial state, or why it is refused. Fills `context`, the log record of a
     /// refusal, with what is known of the request up to that point.
     fn admit(
         &mut self,
         now: Now,
         request: Request,
-        grounds: &mut Grounds,
-    ) -> Result<Pending, Refusal> {
-        let plan = self.plan.clone().ok_or(refuse(Reason::NotReady).after(RETRY))?;
+        context: &mut RefusalContext,
+    ) -> Result<PendingRequest, Refusal> {
+        let configuration = self
+            .configuration
+            .clone()
+            .ok_or(refusal(RefusalReason::NotReady).with_retry_after(NOT_READY_RETRY_AFTER))?;
         // A stale configuration may lack a route that exists by now.
-        let no_route_reason = if self.fresh { Reason::NoRoute } else { Reason::NotReady };
-        let route = plan.route(&request.host, &request.path).ok_or(refuse(no_route_reason))?;
-        grounds.route.clone_from(&route.name);
-        grounds.tier = Some(route.rank);
-        grounds.expected = request.expected;
-        let account = self.authenticate(&plan, route.public, request.key.as_deref())?;
-        grounds.account.clone_from(&account);
-        let patience = request.patience.unwrap_or(PATIENCE).min(route.timeout);
-        if self.draining.is_some_and(|end| now.steady + patience > end) {
-            return Err(refuse(Reason::Draining).after(Duration::ZERO));
+        let no_route_reason =
+            if self.is_fresh { RefusalReason::NoRoute } else { RefusalReason::NotReady };
+        let route =
+            configuration.route(&request.host, &request.path).ok_or(refusal(no_route_reason))?;
+        context.route.clone_from(&route.name);
+        context.tier = Some(route.rank);
+        context.expected_tokens = request.expected_tokens;
+        let account =
+            self.authenticate(&configuration, route.is_public, request.api_key.as_deref())?;
+        context.account.clone_from(&account);
+        let timeout = request.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        if self.drain_end.is_some_and(|end| now.steady + timeout > end) {
+            return Err(refusal(RefusalReason::Draining).with_retry_after(Duration::ZERO));
         }
-        let pool = route.pool(request.draw).ok_or(refuse(Reason::NoRoute))?.clone();
+        let pool = route.pool(request.spread).ok_or(refusal(RefusalReason::NoRoute))?.clone();
         if self.is_quarantined(&request.fingerprint) {
-            return Err(refuse(Reason::Quarantined));
+            return Err(refusal(RefusalReason::Quarantined));
         }
-        let account_settings = account.as_ref().and_then(|name| plan.accounts.get(name));
-        let (mut units, mut stage) = (0.0, Stage::Waiting);
+        let account_settings = account.as_ref().and_then(|name| configuration.accounts.get(name));
+        let (mut units, mut stage) = (0.0, Stage::WaitingForSlot);
         let limit = account_settings.and_then(|account| account.limit);
         if let (Some(name), Some(limit)) = (&account, limit) {
-            let claim = State::claim(&limit, route.rank, &request);
-            (units, stage) = (claim.units, Stage::Limited(claim));
-            let opened = self.opened;
+            let unit_request = State::unit_request(&limit, route.rank, &request);
+            (units, stage) = (unit_request.units, Stage::WaitingForUnits(unit_request));
+            let started = self.started;
             let account_entry = self.accounts.entry(name.clone());
-            account_entry.or_insert_with(|| allowance::open(opened)).ask(claim);
+            account_entry.or_insert_with(|| allowance::open(started)).record_request(unit_request);
         }
         self.count_for_retry_budget(now.steady, &pool);
-        let max_wait = patience.min(WAIT_MIN.max(route.aim.mul_f64(WAIT_PART)));
-        Ok(Pending {
+        let max_wait =
+            timeout.min(MAX_WAIT_FLOOR.max(route.target_latency.mul_f64(MAX_WAIT_SHARE)));
+        Ok(PendingRequest {
             account_rank: account_settings.map_or(0, |account| account.rank),
-            lowest_account_rank: self.lowest_account,
+            lowest_account_rank: self.lowest_account_rank,
             tier: route.rank,
-            promote: now.steady + max_wait.mul_f64(PROMOTE_PART),
+            promote_at: now.steady + max_wait.mul_f64(PROMOTION_SHARE),
             is_promoted: false,
             arrived: now.steady,
-            until: now.steady + patience,
-            give_up: now.steady + max_wait,
+            deadline: now.steady + timeout,
+            wait_deadline: now.steady + max_wait,
             units,
             route: route.name.clone(),
             account,
             pool,
             retry_policy: route.repeat,
-            is_stream: route.stream,
-            attempts: route.attempts,
+            is_stream: route.is_stream,
+            max_attempts: route.max_attempts,
             dispatches: 0,
-            charge: Charge::Free,
+            charge: RetryCharge::Nothing,
             may_have_run: false,
-            begun: false,
+            has_begun: false,
             has_failed_answer: false,
-            tried: Vec::new(),
-            rejected: Vec::new(),
-            reserved: Vec::new(),
-            reservations: 0,
-            next_reservation: now.steady,
-            chosen: None,
+            possibly_ran_at: Vec::new(),
+            rejected_by: Vec::new(),
+            reservations: Vec::new(),
+            reservation_count: 0,
+            next_reservation_at: now.steady,
+            is_selected_for_rollout: None,
             stage,
             request,
         })
@@ -100,17 +108,17 @@
     /// configured. A stale configuration may lack the key, so that no key is accepted or rejected by it.
     fn authenticate(
         &self,
-        plan: &Plan,
+        configuration: &Configuration,
         public: bool,
         key: Option<&str>,
     ) -> Result<Option<AccountName>, Refusal> {
-        if public || plan.accounts.is_empty() {
+        if public || configuration.accounts.is_empty() {
             return Ok(None);
         }
-        if !self.fresh {
-            return Err(refuse(Reason::NotReady).after(RETRY));
+        if !self.is_fresh {
+            return Err(refusal(RefusalReason::NotReady).with_retry_after(NOT_READY_RETRY_AFTER));
         }
-        let account = key.and_then(|key| plan.keys.get(key));
-        account.cloned().map(Some).ok_or(refuse(Reason::BadKey))
+        let account = key.and_then(|key| configuration.keys.get(key));
+        account.cloned().map(Some).ok_or(refusal(RefusalReason::BadKey))
     }
 }
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -8,9 +8,9 @@
 
 use model::{id::ZoneName, reservation::Load};
 
-use crate::direct::{HASHER, event::Fits};
+use crate::direct::{HASHER, event::FittingTargets};
 
-use super::{Capacity, Demand, Reserved, Slot, Target, TargetState, compare_costs};
+use super::{Capacity, Demand, QueuedReservation, Slot, Target, TargetState, compare_costs};
 
 /// First backoff from an agent that is unreachable; doubles with each repeat.
 const MIN_AGENT_BACKOFF: Duration = Duration::from_millis(250);
@@ -44,16 +44,17 @@
             f64::from(load.running + load.waiting)
                 * 0.5_f64.powf(age / AGENT_LOAD_HALF_LIFE.as_secs_f64())
         });
-        let utilization = reported.max(f64::from(self.own)) / f64::from(self.target.slots.max(1));
-        let cost =
-            self.cost(demand.tokens, demand.zone, default_ms_per_token) * (1.0 + utilization);
+        let utilization =
+            reported.max(f64::from(self.own_requests)) / f64::from(self.target.slots.max(1));
+        let cost = self.cost(demand.prompt_tokens, demand.zone, default_ms_per_token)
+            * (1.0 + utilization);
         cost * (1.0 + COST_JITTER_RATIO * self.hash_fraction(demand)) + self.limit_wait_ms(now)
     }
 
     /// Returns the number of requests that the target's agent admits at a time.
     pub fn admission_slots(&self) -> u32 {
         let slots = self.target.slots;
-        let is_assigned = self.agent != self.target.agent;
+        let is_assigned = self.agent != self.target.agent_address;
         let extra_slots =
             if is_assigned { f64::from(slots) * ASSIGNED_AGENT_EXTRA_SLOTS_RATIO } else { 0.0 };
         slots + extra_slots.ceil() as u32
@@ -62,7 +63,7 @@
     /// Returns a pseudo-random number between 0 and 1, both excluded, determined by the request and the
     /// target.
     fn hash_fraction(&self, demand: &Demand<'_>) -> f64 {
-        let hash = HASHER.hash_one((demand.draw, &self.target.name));
+        let hash = HASHER.hash_one((demand.spread, &self.target.name));
         ((hash >> 12) as f64 + 0.5) / (1_u64 << 52) as f64
     }
 
@@ -72,8 +73,8 @@
     fn weighted_draw(&self, now: Instant, demand: &Demand<'_>, default_ms_per_token: f64) -> f64 {
         let zone_factor =
             if self.target.zone == *demand.zone { 1.0 } else { REMOTE_ZONE_COST_FACTOR };
-        let cost =
-            self.cost(demand.tokens, demand.zone, default_ms_per_token) + self.limit_wait_ms(now);
+        let cost = self.cost(demand.prompt_tokens, demand.zone, default_ms_per_token)
+            + self.limit_wait_ms(now);
         -self.hash_fraction(demand).ln() * zone_factor * cost
     }
 }
@@ -92,7 +93,7 @@
 impl Capacity {
     /// Sets the number of other entry processes that may share the targets. It includes all discovered
     /// processes, also those from which no row has been received yet or lately.
-    pub fn share(&mut self, others: usize) {
+    pub fn set_other_processes(&mut self, others: usize) {
         if std::mem::replace(&mut self.other_processes, others) != others {
             self.assign_agents();
         }
@@ -103,12 +104,12 @@
     /// used only if the part is less than one slot. A process that has discovered no other process may yet do
     /// so, and uses every target's own agent.
     pub(super) fn assign_agents(&mut self) {
-        let ready = self.states.iter().map(|state| &state.target).filter(|target| target.ready);
+        let ready = self.states.iter().map(|state| &state.target).filter(|target| target.is_ready);
         let agents: Vec<_> =
-            ready.filter_map(|target| Some((&target.zone, target.agent?))).collect();
+            ready.filter_map(|target| Some((&target.zone, target.agent_address?))).collect();
         let agent = |target: &Target| {
             let (slots, entries) = (target.slots as usize, self.other_processes + 1);
-            let own_agent = target.agent.filter(|_| entries == 1 || slots <= entries);
+            let own_agent = target.agent_address.filter(|_| entries == 1 || slots <= entries);
             own_agent
                 .or_else(|| (slots < entries).then(|| assigned_agent(target, &agents)).flatten())
         };
@@ -129,17 +130,19 @@
         &self,
         now: Instant,
         demand: &Demand<'_>,
-        reserved: &[Reserved],
+        reserved: &[QueuedReservation],
     ) -> Option<&TargetState> {
         let default_ms_per_token = self.mean_first_event_ms_per_token(demand.pool);
         let candidates = self.pool_targets(demand.pool);
-        let candidates = candidates
-            .filter(|state| state.lane == demand.lane && state.is_up(now) && state.uses_agent(now));
+        let candidates = candidates.filter(|state| {
+            state.lane == demand.lane && state.is_available(now) && state.uses_agent(now)
+        });
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = candidates.filter(|state| state.finishes_in_time(demand, fastest));
         let unreserved = candidates.filter(|state| {
             let name = &state.target.name;
-            !demand.tried.contains(name) && reserved.iter().all(|known| known.target != *name)
+            !demand.possibly_ran_at.contains(name)
+                && reserved.iter().all(|known| known.target != *name)
         });
         let costs = unreserved.map(|state| {
             let cost = if reserved.is_empty() {
@@ -154,16 +157,17 @@
     }
 
     /// Counts the targets where a request's answer is expected to end in time.
-    pub fn fits(&self, now: Instant, demand: &Demand<'_>) -> Fits {
+    pub fn count_fitting(&self, now: Instant, demand: &Demand<'_>) -> FittingTargets {
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = self.pool_targets(demand.pool);
-        let candidates = candidates.filter(|state| state.lane == demand.lane && state.is_up(now));
-        let none = Fits {
-            fastest: Some(fastest).filter(|ms_per_token| ms_per_token.is_finite()),
-            ..Fits::default()
+        let candidates =
+            candidates.filter(|state| state.lane == demand.lane && state.is_available(now));
+        let none = FittingTargets {
+            fastest_token_ms: Some(fastest).filter(|ms_per_token| ms_per_token.is_finite()),
+            ..FittingTargets::default()
         };
-        candidates.fold(none, |fits, state| Fits {
-            up: fits.up + 1,
+        candidates.fold(none, |fits, state| FittingTargets {
+            available: fits.available + 1,
             fitting: fits.fitting + u32::from(state.finishes_in_time(demand, fastest)),
             fast: fits.fast + u32::from(state.is_fast(fastest)),
             ..fits
@@ -172,15 +176,15 @@
 
     /// Reports whether a reservation may stay: its target and agent are usable, neither has changed, and the
     /// reservation states correctly whether the target is rate-limited.
-    pub fn is_reservation_valid(&self, now: Instant, reserved: &Reserved) -> bool {
+    pub fn is_reservation_valid(&self, now: Instant, reserved: &QueuedReservation) -> bool {
         let state = self.state(&reserved.target);
         let state = state.filter(|state| state.target.incarnation == reserved.incarnation);
         state.is_some_and(|state| {
-            let is_usable = state.is_up(now) && state.uses_agent(now);
+            let is_usable = state.is_available(now) && state.uses_agent(now);
             // A new reservation informs an agent of a limit that has been set or lifted since.
             is_usable
                 && state.agent == Some(reserved.agent)
-                && state.is_limited() == reserved.limited
+                && state.is_limited() == reserved.is_rate_limited
         })
     }
 
@@ -189,7 +193,7 @@
     pub fn take_granted_slot(
         &mut self,
         now: Instant,
-        reserved: &Reserved,
+        reserved: &QueuedReservation,
         demand: &Demand<'_>,
     ) -> Option<Slot> {
         let (default_ms_per_token, fastest) = (
@@ -197,15 +201,15 @@
             self.fastest_ms_per_token(now, demand),
         );
         let state = self.state_mut(&reserved.target, reserved.incarnation)?;
-        let fits = state.is_up(now) && state.finishes_in_time(demand, fastest);
-        fits.then(|| state.occupy(demand.tokens, default_ms_per_token))
+        let fits = state.is_available(now) && state.finishes_in_time(demand, fastest);
+        fits.then(|| state.occupy(demand.prompt_tokens, default_ms_per_token))
     }
 
     /// Records the load that an agent reported with the grant of a reservation.
-    pub fn record_agent_load(&mut self, now: Instant, reserved: &Reserved, load: Load) {
+    pub fn record_agent_load(&mut self, now: Instant, reserved: &QueuedReservation, load: Load) {
         if let Some(state) = self.state_mut(&reserved.target, reserved.incarnation) {
             // The reported load includes the request that was just granted, hence the 1.
-            state.others = load.running.saturating_sub(state.own + 1);
+            state.other_requests = load.running.saturating_sub(state.own_requests + 1);
             state.last_load = Some((now, load));
             state.ms_per_token = load.step.map(|step| step.as_secs_f64() * 1_000.0);
             state.agent_backoff = Duration::ZERO;
@@ -215,7 +219,7 @@
 
     /// Starts or doubles the backoff from an agent that is unreachable. Meanwhile entry processes share the
     /// target by the rows that they exchange.
-    pub fn mark_agent_unreachable(&mut self, now: Instant, reserved: &Reserved) {
+    pub fn mark_agent_unreachable(&mut self, now: Instant, reserved: &QueuedReservation) {
         let state = self.state_mut(&reserved.target, reserved.incarnation);
         let uses_same_agent = |state: &&mut TargetState| state.agent == Some(reserved.agent);
         if let Some(state) = state.filter(uses_same_agent).filter(|state| state.uses_agent(now)) {
@@ -225,14 +229,14 @@
             state.agent_backoff =
                 (state.agent_backoff * 2).clamp(MIN_AGENT_BACKOFF, MAX_AGENT_BACKOFF);
             state.agent_backoff_until = Some(now + state.agent_backoff);
-            state.others = 0;
+            state.other_requests = 0;
         }
     }
 
     /// Starts or doubles the backoff from a target that its agent can't reach.
-    pub fn mark_unreachable_by_agent(&mut self, now: Instant, reserved: &Reserved) {
+    pub fn mark_unreachable_by_agent(&mut self, now: Instant, reserved: &QueuedReservation) {
         if self.is_reservation_valid(now, reserved) {
-            self.mark_down(now, &reserved.target, reserved.incarnation);
+            self.back_off_unreachable(now, &reserved.target, reserved.incarnation);
         }
     }
 }
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -13,78 +13,78 @@
 use model::id::AccountName;
 
 use super::{
-    LIMIT_RETRY_MAX, LIMIT_WAIT_PART, State,
-    allowance::{self, Claim, LimitShare},
-    event::{Effect, Lack, Reason, Refusal, Request, Ticket},
-    pending::{Pending, Stage},
-    plan, refuse,
+    LIMIT_RETRY_MAX_S, LIMIT_WAIT_SHARE, State,
+    allowance::{self, LimitShare, UnitRequest},
+    event::{Effect, LimitShortage, Refusal, RefusalReason, Request, Ticket},
+    pending::{PendingRequest, Stage},
+    plan, refusal,
 };
 
 impl State {
     /// Returns the units that a request needs from its account's limit.
-    pub(super) fn claim(limit: &plan::Limit, rank: u32, request: &Request) -> Claim {
+    pub(super) fn unit_request(limit: &plan::Limit, rank: u32, request: &Request) -> UnitRequest {
         let tokens =
-            request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.output));
-        let units = if limit.tokens { tokens.unwrap_or(limit.plain) } else { 1.0 };
+            request.tokens.map(|tokens| f64::from(tokens.prompt) + f64::from(tokens.max_output));
+        let units = if limit.counts_tokens { tokens.unwrap_or(limit.default_units) } else { 1.0 };
         let is_sized = tokens.is_some();
         // Requests to plain services state no tokens and are too small to leave units for higher ranks.
-        Claim { units, rank: if is_sized { rank } else { 0 }, is_sized }
+        UnitRequest { units, rank: if is_sized { rank } else { 0 }, is_sized }
     }
 
     /// Moves requests that waited for their accounts' limits to the queues for targets, in queue order,
     /// as far as units are left.
-    pub(super) fn grant(&mut self, now: Instant) {
+    pub(super) fn admit_limited(&mut self, now: Instant) {
         if self.next_grant.is_some_and(|at| at > now) {
             return;
         }
         self.next_grant = None;
-        for (account, queue) in std::mem::take(&mut self.limited) {
+        for (account, queue) in std::mem::take(&mut self.waiting_for_units) {
             let mut is_blocked = false;
             let mut still_waiting = BTreeSet::new();
-            for order in queue {
-                let Some(claim) = self.limit_claim(order.ticket) else {
+            for key in queue {
+                let Some(unit_request) = self.awaited_units(key.ticket) else {
                     continue;
                 };
                 // A request with stated tokens can't overtake another one that lacks units.
-                if is_blocked && claim.is_sized {
-                    still_waiting.insert(order);
+                if is_blocked && unit_request.is_sized {
+                    still_waiting.insert(key);
                     continue;
                 }
-                match self.spend(now, &account, claim) {
-                    Ok(()) => self.queue_for_target(order.ticket),
-                    Err(lack) => {
-                        let at = now + refill_time(&lack, lack.units);
+                match self.spend(now, &account, unit_request) {
+                    Ok(()) => self.queue_for_target(key.ticket),
+                    Err(shortage) => {
+                        let at = now + refill_time(&shortage, shortage.needed);
                         self.next_grant = Some(self.next_grant.map_or(at, |known| known.min(at)));
-                        is_blocked |= claim.is_sized;
-                        still_waiting.insert(order);
+                        is_blocked |= unit_request.is_sized;
+                        still_waiting.insert(key);
                     }
                 }
             }
             if !still_waiting.is_empty() {
-                self.limited.insert(account, still_waiting);
+                self.waiting_for_units.insert(account, still_waiting);
             }
         }
     }
 
     /// Refuses a request whose units won't be available within the part of its wait that it may spend
     /// on its account's limit.
-    pub(super) fn refuse_hopeless(
+    pub(super) fn refuse_if_units_too_late(
         &mut self,
         now: Instant,
         ticket: Ticket,
         effects: &mut Vec<Effect>,
     ) {
-        let Some((lack, wait)) = self.limit_wait(now, ticket) else {
+        let Some((shortage, wait)) = self.units_wait(now, ticket) else {
             return;
         };
-        let latest = |pending: &Pending| {
-            let longest_wait = pending.give_up.saturating_duration_since(pending.arrived);
-            pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_PART)
+        let latest = |pending: &PendingRequest| {
+            let longest_wait = pending.wait_deadline.saturating_duration_since(pending.arrived);
+            pending.arrived + longest_wait.mul_f64(LIMIT_WAIT_SHARE)
         };
         let is_too_late =
             self.requests.get(&ticket).is_some_and(|pending| now + wait > latest(pending));
         if is_too_late {
-            self.refuse_limited(now, ticket, lack, wait, effects);
+            self.refuse_limited(now, ticket, shortage, wait, effects);
         }
     }
 
@@ -94,39 +94,46 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        lack: Lack,
+        shortage: LimitShortage,
         wait: Duration,
         effects: &mut Vec<Effect>,
     ) {
-        let grounds = Box::new(self.grounds(now, ticket));
-        self.remove(ticket, effects);
-        let refusal = Refusal { lack: Some(lack), ..refuse(Reason::Limit).after(wait) };
-        effects.push(Effect::Refuse { ticket, refusal, grounds });
+        let context = Box::new(self.refusal_context(now, ticket));
+        self.end_request(ticket, effects);
+        let refusal = Refusal {
+            shortage: Some(shortage),
+            ..refusal(RefusalReason::AccountLimit).with_retry_after(wait)
+        };
+        effects.push(Effect::Refuse { ticket, refusal, context });
     }
 
     /// Returns, for a request that waits for its account's limit, the units that it needs and those that
     /// are left, and the time until it gets them after the requests ahead of it. `None` for any other
     /// request.
-    pub(super) fn limit_wait(&self, now: Instant, ticket: Ticket) -> Option<(Lack, Duration)> {
-        let claim = self.limit_claim(ticket)?;
+    pub(super) fn units_wait(
+        &self,
+        now: Instant,
+        ticket: Ticket,
+    ) -> Option<(LimitShortage, Duration)> {
+        let unit_request = self.awaited_units(ticket)?;
         let pending = self.requests.get(&ticket)?;
         let account = pending.account.as_ref()?;
         let (limit, share) = self.limit(account)?;
-        let ahead = self.limited.get(account)?.range(..pending.order());
-        let ahead = ahead.filter_map(|order| self.limit_claim(order.ticket));
-        let ahead: f64 = ahead.filter(|_| claim.is_sized).map(|ahead| ahead.units).sum();
-        let lack = self.accounts.get(account)?.lack(now, &limit, share, claim);
-        Some((lack, refill_time(&lack, lack.units + ahead)))
+        let ahead = self.waiting_for_units.get(account)?.range(..pending.queue_key());
+        let ahead = ahead.filter_map(|key| self.awaited_units(key.ticket));
+        let ahead: f64 = ahead.filter(|_| unit_request.is_sized).map(|ahead| ahead.units).sum();
+        let shortage = self.accounts.get(account)?.shortage(now, &limit, share, unit_request);
+        Some((shortage, refill_time(&shortage, shortage.needed + ahead)))
     }
 
     /// Returns an account's limit and the parts of it that this process may use; `None` where the account
     /// has no limit.
     fn limit(&self, account: &AccountName) -> Option<(plan::Limit, LimitShare)> {
-        let limit = self.plan.as_ref()?.accounts.get(account)?.limit?;
+        let limit = self.configuration.as_ref()?.accounts.get(account)?.limit?;
         let share = LimitShare {
-            processes: self.place.among,
-            known: self.heard,
-            usable: self.together,
+            processes: self.process_index.count,
+            known: self.current_processes,
+            usable: self.usable_parts,
             tolerance: self.settings.tolerance,
         };
         Some((limit, share))
@@ -134,20 +141,25 @@
 
     /// Takes a request's units of an account's limit, or returns the units that it needs and those that
     /// are left.
-    fn spend(&mut self, now: Instant, account: &AccountName, claim: Claim) -> Result<(), Lack> {
+    fn spend(
+        &mut self,
+        now: Instant,
+        account: &AccountName,
+        unit_request: UnitRequest,
+    ) -> Result<(), LimitShortage> {
         // The configuration may have removed the limit since the request began to wait.
         let Some((limit, share)) = self.limit(account) else {
             return Ok(());
         };
-        let opened = self.opened;
+        let started = self.started;
         let usage = self.accounts.entry(account.clone());
-        usage.or_insert_with(|| allowance::open(opened)).take(now, &limit, share, claim)
+        usage.or_insert_with(|| allowance::open(started)).take(now, &limit, share, unit_request)
     }
 
     /// Returns the units that a request waits for; `None` where it doesn't wait for its account's limit.
-    fn limit_claim(&self, ticket: Ticket) -> Option<Claim> {
+    fn awaited_units(&self, ticket: Ticket) -> Option<UnitRequest> {
         match self.requests.get(&ticket)?.stage {
-            Stage::Limited(claim) => Some(claim),
+            Stage::WaitingForUnits(unit_request) => Some(unit_request),
             _ => None,
         }
     }
@@ -155,13 +167,13 @@
     /// Lets a request that got its units wait for room at a target.
     fn queue_for_target(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get_mut(&ticket) {
-            pending.stage = Stage::Waiting;
+            pending.stage = Stage::WaitingForSlot;
         }
         self.enqueue(ticket);
     }
 }
 
-/// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX`] seconds.
-fn refill_time(lack: &Lack, units: f64) -> Duration {
-    Duration::from_secs_f64(((units - lack.left) / lack.rate).clamp(0.0, LIMIT_RETRY_MAX))
+/// Returns the time until a bucket that lacks units holds `units`, at most [`LIMIT_RETRY_MAX_S`] seconds.
+fn refill_time(shortage: &LimitShortage, units: f64) -> Duration {
+    Duration::from_secs_f64(((units - shortage.left) / shortage.rate).clamp(0.0, LIMIT_RETRY_MAX_S))
 }
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -44,17 +44,18 @@
 };
 
 use allowance::Allowance;
-use budget::Budget;
-use capacity::{Capacity, Place, TargetState};
-use crashes::Crashes;
+use budget::RetryBudget;
+use capacity::{Capacity, ProcessIndex, TargetState};
+use crashes::CrashCounts;
 pub use event::{
-    Effect, Event, Fits, Grounds, Incarnation, Introduction, Lack, Lapse, Note, Now, Outcome,
-    Reason, Refusal, Request, Reservation, Start, Target, Ticket, Tokens,
+    DenialReason, Dispatch, Effect, Event, FittingTargets, Incarnation, LimitShortage, LogEntry,
+    Now, Outcome, Refusal, RefusalContext, RefusalReason, Registration, Request, Reservation,
+    Target, Ticket, Tokens,
 };
-use holds::Holds;
-use peers::{Limited, Peers, Row, Use};
-use pending::{Order, Pending, Stage};
-use plan::Plan;
+use holds::SlotTimes;
+use peers::{AccountUsage, Peers, Row, TargetLimit};
+use pending::{PendingRequest, QueueKey, Stage};
+use plan::Configuration;
 use relay::{Era, Known, Listing, Topic};
 use rollout::Rollouts;
 
@@ -62,45 +63,47 @@
 const HASHER: BuildHasherDefault<DefaultHasher> = BuildHasherDefault::new();
 /// Time after the end of an outage of the platform for which targets that are missing in its list are
 /// still used: live ones are listed again within two seconds of the outage's end.
-const RETURN: Duration = Duration::from_millis(2_200);
+const RELISTING_TIME: Duration = Duration::from_millis(2_200);
 /// Longest time between two answers of the platform that doesn't count as an outage.
-const SILENCE: Duration = Duration::from_millis(2_800);
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2_800);
 /// Number of target crashes after which requests with the same fingerprint are refused.
-const CRASHES: u32 = 2;
+const QUARANTINE_CRASHES: u32 = 2;
 /// Time after a connection broke off in which a failed connection to the same target, or its restart, is
 /// counted as a crash caused by the request on that connection.
 const CRASH_WINDOW: Duration = Duration::from_secs(2);
 /// Share of a request's maximum wait that it may spend waiting for units of its account's limit: a caller
 /// that is refused then can still retry in time to be served.
-const LIMIT_WAIT_PART: f64 = 0.4;
+const LIMIT_WAIT_SHARE: f64 = 0.4;
 /// Maximum retry time in seconds that is suggested to a caller whose account exceeds its limit.
-const LIMIT_RETRY_MAX: f64 = 30.0;
+const LIMIT_RETRY_MAX_S: f64 = 30.0;
 /// Maximum retry time that is suggested to a caller whose queued request is refused.
-const RETRY_MAX: Duration = Duration::from_secs(4);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 /// Retry time that is suggested to a caller where the configuration is missing or may be out of date.
-const RETRY: Duration = Duration::from_millis(400);
-/// Share of the route's target latency ([`Route::aim`](plan::Route::aim)) after which a request that still
-/// waits is refused. The remaining share is about the time to the first event. An answer after the target
-/// latency earns at most a third of the credit and takes as much capacity from requests that can be on time.
-const WAIT_PART: f64 = 0.75;
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Share of the target latency ([`Route::target_latency`](plan::Route::target_latency)) after which a request
+/// that still waits is refused. The remaining share is about the time to the first event. An answer after the
+/// target latency earns at most a third of the credit and takes as much capacity from requests that can be on
+/// time.
+const MAX_WAIT_SHARE: f64 = 0.75;
 /// Share of a request's maximum wait after which its account's rank determines its place in the queue.
-const PROMOTE_PART: f64 = 0.75;
+const PROMOTION_SHARE: f64 = 0.75;
 /// Lower bound of the maximum wait for a slot, for routes with a small target latency.
-const WAIT_MIN: Duration = Duration::from_millis(250);
+const MAX_WAIT_FLOOR: Duration = Duration::from_millis(250);
 /// Share of the time to the request's deadline that is suggested to a refused caller as its retry time:
 /// late enough for a burst to pass, early enough for the retry to be served.
-const RETRY_PART: f64 = 0.25;
+const RETRY_AFTER_SHARE: f64 = 0.25;
 /// Minimum time without data from a target after which a request that may be repeated waits for a slot at
 /// another target.
-const SILENT: Duration = Duration::from_millis(500);
+const UNRESPONSIVE_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 /// Multiple of the expected time to the first event: after this time without data from a target, but no
-/// earlier than after [`SILENT`], a request that may be repeated waits for a slot at another target.
-const SILENT_TIMES: u32 = 4;
+/// earlier than after [`UNRESPONSIVE_TIMEOUT_MIN`], a request that may be repeated waits for a slot at
+/// another target.
+const UNRESPONSIVE_TIMEOUT_FACTOR: u32 = 4;
 /// Time for which a request that may have run waits for another target while no part of its answer was
 /// passed to its caller; after that the caller may retry itself.
-const REPEAT_WAIT: Duration = Duration::from_millis(1_500);
+const RETRY_WAIT_MAX: Duration = Duration::from_millis(1_500);
 /// Time to the deadline of a request whose caller doesn't state one.
-const PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Settings of the reducer, fixed for the lifetime of the process.
 #[derive(Clone, Debug, PartialEq)]
@@ -112,23 +115,23 @@
     /// Availability zone of the process.
     pub zone: ZoneName,
     /// Maximum time since the configuration was last known to be current for which API keys are accepted.
-    pub freshness: Duration,
+    pub max_configuration_age: Duration,
     /// Time after the last row or registration of another process from which on that process can't accept
     /// requests with a key any more.
-    pub gone: Duration,
+    pub peer_timeout: Duration,
     /// Limits of the retry budget of each pool.
-    pub repeats: budget::Rule,
+    pub retry_budget: budget::RetryBudgetRule,
     /// How far accounts may exceed their limits.
     pub tolerance: allowance::Tolerance,
     /// Share of a pool's requests, from 0 to 1, that a new version may get before it is judged good.
-    pub exposure: f64,
+    pub trial_share: f64,
 }
 
 /// Ages of the information that this process has about the platform; `None` where it has none.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ages {
     /// Time since this process last confirmed that its configuration is current.
-    pub proof: Option<Duration>,
+    pub confirmed: Option<Duration>,
     /// Time since the platform last answered this process or another one that reported it.
     pub answered: Option<Duration>,
 }
@@ -138,25 +141,25 @@
 pub struct State {
     settings: Settings,
     /// Time at which the process started.
-    opened: Instant,
+    started: Instant,
     /// Configuration in force; `None` before the first one was read.
-    plan: Option<Arc<Plan>>,
+    configuration: Option<Arc<Configuration>>,
     /// Rank of the lowest tier of each pool whose streams have several tiers.
-    lowest: BTreeMap<PoolName, u32>,
+    lowest_tiers: BTreeMap<PoolName, u32>,
     /// Lowest rank that any account has, which is the highest number.
-    lowest_account: u32,
+    lowest_account_rank: u32,
     /// Time by the boot clock at which the configuration was last confirmed to be current.
     confirmed: Option<Duration>,
     /// Whether the configuration counts as current, so that API keys are accepted.
-    fresh: bool,
+    is_fresh: bool,
     /// Time by the boot clock at which the platform last answered this process or another one that
     /// reported it.
-    answered: Option<Duration>,
+    platform_answered: Option<Duration>,
     /// Time at which the platform's last outage ended; `None` where there was none, or where another process
     /// reported that the platform answered it meanwhile.
-    outage: Option<Instant>,
+    outage_ended: Option<Instant>,
     /// Last list of targets that was read from the platform or fetched from another process.
-    listing: Listing,
+    target_list: Listing,
     /// Time at which the platform last answered a read of its list of targets.
     list_answered: Option<Instant>,
     /// Versions of what other processes offer, by their addresses; only of processes that have something
@@ -173,16 +176,16 @@
     /// Targets that left the list, with their incarnations and the times at which they left.
     departed: BTreeMap<TargetName, (Incarnation, Instant)>,
     /// Whether any other process has sent an offer.
-    heard_offer: bool,
+    has_received_offer: bool,
     capacity: Capacity,
     /// Requests that haven't ended.
-    requests: HashMap<Ticket, Pending>,
+    requests: HashMap<Ticket, PendingRequest>,
     /// Requests that wait for a slot, by pool, in the order in which they are dispatched.
-    waiting: BTreeMap<PoolName, BTreeSet<Order>>,
+    waiting: BTreeMap<PoolName, BTreeSet<QueueKey>>,
     /// Times at which waiting requests may be reserved at one more agent.
     reserve_at: BTreeSet<Instant>,
     /// Requests that wait for units of their account's limit.
-    limited: BTreeMap<AccountName, BTreeSet<Order>>,
+    waiting_for_units: BTreeMap<AccountName, BTreeSet<QueueKey>>,
     /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
     /// has to be computed again.
     next_grant: Option<Instant>,
@@ -191,33 +194,33 @@
     /// Use of the limit of each account.
     accounts: BTreeMap<AccountName, Allowance>,
     /// Retry budgets by pool.
-    budgets: BTreeMap<PoolName, Budget>,
+    budgets: BTreeMap<PoolName, RetryBudget>,
     /// Mean times for which requests hold their slots, by pool and tier.
-    holds: Holds,
+    slot_times: SlotTimes,
     rollouts: Rollouts,
     peers: Peers,
     /// Index of this process among the entry processes that may take requests, and their number.
-    place: Place,
+    process_index: ProcessIndex,
     /// Number of entry processes, this one included, whose rows are current.
-    heard: u32,
+    current_processes: u32,
     /// Number of entry processes, this one included, whose parts of limits this one may use.
-    together: u32,
+    usable_parts: u32,
     /// Sequence number of the last row that this process made about itself.
     sequence: u64,
-    crashes: Crashes,
+    crashes: CrashCounts,
     /// Time from which crash counts may be fetched again.
-    crashes_at: Option<Instant>,
+    next_crash_fetch: Option<Instant>,
     /// Requests whose connection broke off, until it is known whether their target crashed.
-    lost: Vec<Loss>,
+    broken_dispatches: Vec<BrokenDispatch>,
     /// Targets for which a probe is in flight, with their incarnations.
     probing: BTreeMap<TargetName, Incarnation>,
     /// Time at which the process ends, once it drains.
-    draining: Option<Instant>,
+    drain_end: Option<Instant>,
 }
 
 /// Facts about a dispatch in flight, for the log and the metrics.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct DispatchView<'a> {
     /// Request ID that the caller sent.
     pub id: &'a str,
     /// Name of the request's route.
@@ -228,62 +231,62 @@
     pub running: u32,
     /// Number of requests of other processes that are in flight at the target, by their last rows or the
     /// last report of the target's agent.
-    pub elsewhere: u32,
+    pub running_of_others: u32,
     /// Rate limit of the target in requests per second, and the time since it was stated; `None` where the
     /// target states no limit.
     pub limit: Option<(f64, Duration)>,
     /// Version of the configuration in force.
-    pub plan: u64,
+    pub configuration_version: u64,
     /// Time since the platform last answered a read of its list of targets; `None` where it never did.
     pub list_age: Option<Duration>,
     /// Units of the account's limit that the request took.
     pub units: f64,
     /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
-    pub expected: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// Account of the request; `None` on a public route.
     pub account: Option<&'a str>,
     /// Rank of the request's route; 0 is the highest.
     pub tier: u32,
     /// Time per token of an answer at the target in ms, as the target's agent last reported it; `None` where
     /// no agent reported it.
-    pub pace: Option<f64>,
+    pub token_ms: Option<f64>,
     /// Time since the dispatch.
     pub running_for: Duration,
     /// Time from the dispatch to the first event of the answer; `None` before that.
-    pub first: Option<Duration>,
+    pub time_to_first_event: Option<Duration>,
     /// Time from the request's arrival to its deadline.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Number of the dispatch among those of the request, from 1.
     pub attempt: u32,
-    /// Whether the request waits for a slot at another target, since its own is silent.
-    pub seeks: bool,
+    /// Whether the request waits for a slot at another target, since its own is unresponsive.
+    pub is_seeking: bool,
 }
 
 /// A dispatch whose connection broke off, possibly because its target crashed.
 #[derive(Clone, Debug)]
-struct Loss {
+struct BrokenDispatch {
     /// Time at which the connection broke off.
     at: Instant,
     target: String,
     /// Fingerprint of the request.
-    body: Fingerprint,
+    fingerprint: Fingerprint,
     /// Whether the target accepted a connection afterwards: then only its restart proves that it crashed.
-    reached: bool,
+    is_target_reached: bool,
 }
 
 /// Returns the state of a process that just started: without a configuration, targets or peers.
 pub fn open(now: Instant, settings: Settings) -> State {
     State {
         settings,
-        opened: now,
-        plan: None,
-        lowest: BTreeMap::new(),
-        lowest_account: 0,
+        started: now,
+        configuration: None,
+        lowest_tiers: BTreeMap::new(),
+        lowest_account_rank: 0,
         confirmed: None,
-        fresh: false,
-        answered: None,
-        outage: None,
-        listing: Listing::default(),
+        is_fresh: false,
+        platform_answered: None,
+        outage_ended: None,
+        target_list: Listing::default(),
         list_answered: None,
         offers: BTreeMap::new(),
         fetching: BTreeSet::new(),
@@ -291,28 +294,28 @@
         era: None,
         era_began: None,
         departed: BTreeMap::new(),
-        heard_offer: false,
+        has_received_offer: false,
         capacity: Capacity::default(),
         requests: HashMap::new(),
         waiting: BTreeMap::new(),
         reserve_at: BTreeSet::new(),
-        limited: BTreeMap::new(),
+        waiting_for_units: BTreeMap::new(),
         next_grant: None,
         timers: BTreeSet::new(),
         accounts: BTreeMap::new(),
         budgets: BTreeMap::new(),
-        holds: Holds::default(),
+        slot_times: SlotTimes::default(),
         rollouts: Rollouts::default(),
         peers: Peers::default(),
-        place: Place { index: 0, among: 1 },
-        heard: 1,
-        together: 1,
+        process_index: ProcessIndex { index: 0, count: 1 },
+        current_processes: 1,
+        usable_parts: 1,
         sequence: 0,
-        crashes: Crashes::default(),
-        crashes_at: None,
-        lost: Vec::new(),
+        crashes: CrashCounts::default(),
+        next_crash_fetch: None,
+        broken_dispatches: Vec::new(),
         probing: BTreeMap::new(),
-        draining: None,
+        drain_end: None,
     }
 }
 
@@ -322,67 +325,77 @@
     // After a suspension of the host the configuration may be out of date, so check that before the event.
     state.update_freshness(now, &mut effects);
     match event {
-        Event::Arrived(request) => state.arrive(now, request, &mut effects),
+        Event::RequestReceived(request) => state.handle_arrival(now, request, &mut effects),
         Event::Granted { ticket, number, load } => {
-            state.granted(now.steady, ticket, number, load, &mut effects);
+            state.handle_grant(now.steady, ticket, number, load, &mut effects);
+        }
+        Event::Denied { ticket, number, reason } => {
+            state.handle_denial(now.steady, ticket, number, reason)
+        }
+        Event::AnswerBegan { ticket } => {
+            state.handle_answer_began(now.steady, ticket, &mut effects)
+        }
+        Event::RateLimitStated { ticket, per_second } => {
+            state.handle_rate_limit(now.steady, ticket, per_second, &mut effects);
         }
-        Event::Denied { ticket, number, lapse } => state.denied(now.steady, ticket, number, lapse),
-        Event::Began { ticket } => state.began(now.steady, ticket, &mut effects),
-        Event::Limited { ticket, per_second } => {
-            state.limited(now.steady, ticket, per_second, &mut effects);
+        Event::TargetUnresponsive { ticket, begun } => {
+            state.handle_unresponsive_target(now.steady, ticket, begun)
         }
-        Event::Quiet { ticket, begun } => state.quiet(now.steady, ticket, begun),
-        Event::Spoke { ticket } => {
-            state.stay(ticket, &mut effects);
+        Event::TargetResumed { ticket } => {
+            state.cancel_search(ticket, &mut effects);
         }
-        Event::Ended { ticket, outcome, begun, events } => {
-            state.ended(now, ticket, outcome, (begun, events), &mut effects);
+        Event::DispatchEnded { ticket, outcome, begun, events } => {
+            state.handle_dispatch_ended(now, ticket, outcome, (begun, events), &mut effects);
         }
-        Event::Left { ticket, .. } => {
-            state.remove(ticket, &mut effects);
+        Event::CallerDisconnected { ticket, .. } => {
+            state.end_request(ticket, &mut effects);
         }
-        Event::Planned(plan) => state.plan(plan, &mut effects),
-        Event::Ordered(order) => {
-            let step = state.rollouts.order(now.steady, order, Duration::ZERO);
+        Event::ConfigurationRead(configuration) => {
+            state.apply_configuration(configuration, &mut effects)
+        }
+        Event::RolloutOrdered(order) => {
+            let step = state.rollouts.start(now.steady, order, Duration::ZERO);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
-        Event::Withdrawn { pool, position } => {
+        Event::RolloutWithdrawn { pool, position } => {
             let step = state.rollouts.withdraw(now.steady, &pool, position);
             state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
         }
-        Event::Reported(reports) => {
+        Event::RolloutsReported(reports) => {
             for report in reports {
-                let step = state.rollouts.report(now.steady, &report);
+                let step = state.rollouts.apply_report(now.steady, &report);
                 state.apply_steps(now.steady, step.into_iter().collect(), &mut effects);
             }
         }
-        Event::Confirmed { boot, version, era } => state.confirm(now, boot, version, era),
-        Event::Listed(listing) => state.take_over(now.steady, listing, &mut effects),
-        Event::ListAnswered => state.record_list_answer(now),
-        Event::Offered { peer, offer } => state.offered(now, peer, offer),
-        Event::Fetched { peer, topic, news } => {
-            state.fetched(now.steady, (peer, topic), news, &mut effects);
+        Event::ConfigurationConfirmed { boot, version, era } => {
+            state.confirm(now, boot, version, era)
+        }
+        Event::TargetsListed(listing) => state.apply_read_list(now.steady, listing, &mut effects),
+        Event::TargetListAnswered => state.record_list_answer(now),
+        Event::PeerOffered { peer, offer } => state.receive_offer(now, peer, offer),
+        Event::Fetched { peer, topic, data } => {
+            state.apply_fetched(now.steady, (peer, topic), data, &mut effects);
         }
-        Event::Introduced(processes) => {
+        Event::PeersDiscovered(processes) => {
             let own = state.settings.address;
             for process in processes.into_iter().filter(|process| process.address != own) {
-                state.peers.introduce(now.steady, process);
+                state.peers.register(now.steady, process);
             }
             state.update_peers(now.steady, &mut effects);
         }
-        Event::Heard(rows) => state.receive_rows(now.steady, rows, &mut effects),
+        Event::RowsReceived(rows) => state.receive_rows(now.steady, rows, &mut effects),
         Event::Probed { target, reached } => {
-            state.probed(now.steady, &target, reached, &mut effects);
+            state.handle_probe_result(now.steady, &target, reached, &mut effects);
         }
-        Event::Drain { end } => state.draining = Some(end),
+        Event::Drain { end } => state.drain_end = Some(end),
         Event::Tick => state.update_peers(now.steady, &mut effects),
     }
     state.update_freshness(now, &mut effects);
     state.drop_vanished_targets(now.steady, &mut effects);
-    state.fetch(now.steady, &mut effects);
-    state.grant(now.steady);
-    state.expire(now.steady, &mut effects);
-    state.place(now, &mut effects);
+    state.start_fetches(now.steady, &mut effects);
+    state.admit_limited(now.steady);
+    state.handle_due_timers(now.steady, &mut effects);
+    state.dispatch_waiting(now, &mut effects);
     effects
 }
 
@@ -391,7 +404,7 @@
 pub fn next_wake(state: &State, now: Instant) -> Option<Instant> {
     let next_timer = state.timers.first().map(|&(at, _)| at);
     let has_waiting = state.waiting.values().any(|queue| !queue.is_empty());
-    let next_up = if has_waiting { state.capacity.next_up(now) } else { None };
+    let next_up = if has_waiting { state.capacity.next_available(now) } else { None };
     let next_reservation = state.reserve_at.first().copied();
     next_timer.into_iter().chain(next_up).chain(state.next_grant).chain(next_reservation).min()
 }
@@ -399,12 +412,12 @@
 impl State {
     /// Returns the number of targets that state a rate limit.
     pub fn limited_targets(&self) -> usize {
-        self.capacity.limited()
+        self.capacity.limited_count()
     }
 
     /// Returns whether a load balancer should send requests to this process.
     pub fn is_ready(&self) -> bool {
-        self.plan.is_some() && self.fresh && self.draining.is_none()
+        self.configuration.is_some() && self.is_fresh && self.drain_end.is_none()
     }
 
     /// Returns the number of requests that haven't ended.
@@ -413,62 +426,64 @@
     }
 
     /// Returns whether the last row of the process at this address is current.
-    pub fn hears(&self, now: Instant, address: SocketAddr) -> bool {
-        self.peers.hears(now, address)
+    pub fn is_row_current(&self, now: Instant, address: SocketAddr) -> bool {
+        self.peers.has_current_row_of(now, address)
     }
 
     /// Returns facts about the dispatch of a request; `None` where the request isn't in flight at a target.
-    pub fn view(&self, ticket: Ticket, now: Instant) -> Option<View<'_>> {
+    pub fn dispatch_view(&self, ticket: Ticket, now: Instant) -> Option<DispatchView<'_>> {
         let pending = self.requests.get(&ticket)?;
-        let running = pending.running()?;
-        let since = running.since;
-        let state = self.capacity.state(&running.slot.target);
-        Some(View {
+        let in_flight = pending.in_flight()?;
+        let state = self.capacity.state(&in_flight.slot.target);
+        Some(DispatchView {
             id: &pending.request.id,
             route: &pending.route,
             waited: now.saturating_duration_since(pending.arrived),
-            running: state.map_or(0, |state| state.own),
-            elsewhere: state.map_or(0, |state| state.others),
-            limit: state.and_then(|state| state.limit(now)),
-            plan: self.plan.as_ref().map_or(0, |plan| plan.version),
+            running: state.map_or(0, |state| state.own_requests),
+            running_of_others: state.map_or(0, |state| state.other_requests),
+            limit: state.and_then(|state| state.limit_per_second(now)),
+            configuration_version: self
+                .configuration
+                .as_ref()
+                .map_or(0, |configuration| configuration.version),
             list_age: self.list_age(now),
             units: pending.units,
-            expected: pending.request.expected,
+            expected_tokens: pending.request.expected_tokens,
             account: pending.account.as_deref(),
             tier: pending.tier,
-            pace: state.and_then(|state| state.pace()),
-            running_for: now.saturating_duration_since(since),
-            first: running.first,
-            patience: pending.until.saturating_duration_since(pending.arrived),
+            token_ms: state.and_then(|state| state.ms_per_token()),
+            running_for: now.saturating_duration_since(in_flight.dispatched_at),
+            time_to_first_event: in_flight.time_to_first_event,
+            timeout: pending.deadline.saturating_duration_since(pending.arrived),
             attempt: pending.dispatches,
-            seeks: matches!(pending.stage, Stage::Seeking(_)),
+            is_seeking: matches!(pending.stage, Stage::SeekingOtherTarget(_)),
         })
     }
 
     /// Returns the facts on which a refusal of this request would be based, for the log.
-    fn grounds(&self, now: Instant, ticket: Ticket) -> Grounds {
+    fn refusal_context(&self, now: Instant, ticket: Ticket) -> RefusalContext {
         let Some(pending) = self.requests.get(&ticket) else {
-            return Grounds::default();
+            return RefusalContext::default();
         };
         let queue = self.waiting.get(&pending.pool);
-        let (free, slots) = self.capacity.slots(now, &pending.pool);
+        let (free, slots) = self.capacity.free_and_total_slots(now, &pending.pool);
         let demand = pending.demand(now, &pending.pool, &self.settings.zone, (&[], &[]));
-        Grounds {
+        RefusalContext {
             route: pending.route.clone(),
             account: pending.account.clone(),
             tier: Some(pending.tier),
-            expected: pending.request.expected,
+            expected_tokens: pending.request.expected_tokens,
             waited: now.saturating_duration_since(pending.arrived),
-            wait: pending.give_up.saturating_duration_since(pending.arrived),
-            fits: self.capacity.fits(now, &demand),
-            left: pending.until.saturating_duration_since(now),
-            begun: pending.begun,
-            ran: (pending.tried.len(), pending.attempts),
-            quarantined: self.is_quarantined(&pending.request.fingerprint),
-            ahead: queue.map_or(0, |queue| queue.range(..pending.order()).count()),
-            free,
+            max_wait: pending.wait_deadline.saturating_duration_since(pending.arrived),
+            fits: self.capacity.count_fitting(now, &demand),
+            time_left: pending.deadline.saturating_duration_since(now),
+            has_begun: pending.has_begun,
+            attempts: (pending.possibly_ran_at.len(), pending.max_attempts),
+            is_quarantined: self.is_quarantined(&pending.request.fingerprint),
+            ahead: queue.map_or(0, |queue| queue.range(..pending.queue_key()).count()),
+            free_slots: free,
             slots,
-            rows: self.peers.oldest(now),
+            oldest_row: self.peers.oldest_current_row_age(now),
         }
     }
 
@@ -481,18 +496,18 @@
     /// Returns the ages of the information that this process has about the platform.
     pub fn ages(&self, now: Now) -> Ages {
         let age = |at: Duration| now.boot.saturating_sub(at);
-        Ages { proof: self.confirmed.map(age), answered: self.answered.map(age) }
+        Ages { confirmed: self.confirmed.map(age), answered: self.platform_answered.map(age) }
     }
 
     /// Returns whether the row of any other process that may take requests is missing or out of date.
-    pub fn is_lonely(&self, now: Instant) -> bool {
-        let gone = self.settings.gone;
-        self.peers.heard(now, gone) < self.peers.expected(now, gone)
+    pub fn is_missing_peers(&self, now: Instant) -> bool {
+        let peer_timeout = self.settings.peer_timeout;
+        self.peers.current_count(now, peer_timeout) < self.peers.active_count(now, peer_timeout)
     }
 
     /// Returns the configuration in force; `None` where none was read yet.
-    pub fn plan_in_force(&self) -> Option<&Arc<Plan>> {
-        self.plan.as_ref()
+    pub fn configuration_in_force(&self) -> Option<&Arc<Configuration>> {
+        self.configuration.as_ref()
     }
 
     /// Returns the addresses of the other entry processes that may be alive.
@@ -501,44 +516,48 @@
     }
 
     /// Builds a new row about this process, with the next sequence number, to send to the others.
-    pub fn row(&mut self, now: Instant) -> Row {
+    pub fn next_row(&mut self, now: Instant) -> Row {
         self.sequence += 1;
         Row {
             address: Some(self.settings.address),
             incarnation: self.settings.incarnation,
             sequence: self.sequence,
             age: Duration::ZERO,
-            leaving: self.draining.is_some() && self.requests.is_empty(),
-            hears: self.peers.heard_addresses(now),
-            uptime: now.saturating_duration_since(self.opened),
-            accounts: self.accounts.iter().map(account_use).collect(),
-            running: self.capacity.running(now),
-            limits: self.capacity.limits(now).map(target_limit).collect(),
-            rollouts: self.shares(now),
+            has_drained: self.drain_end.is_some() && self.requests.is_empty(),
+            current_peers: self.peers.current_addresses(now),
+            uptime: now.saturating_duration_since(self.started),
+            account_usages: self.accounts.iter().map(account_usage).collect(),
+            target_loads: self.capacity.own_load(now),
+            target_limits: self.capacity.limit_reports(now).map(target_limit).collect(),
+            rollouts: self.own_rollouts(now),
         }
     }
 
     /// Returns the last rows of the other processes with their current ages, to relay them.
-    pub fn rows(&self, now: Instant) -> Vec<Row> {
+    pub fn peer_rows(&self, now: Instant) -> Vec<Row> {
         self.peers.rows(now).collect()
     }
 }
 
-fn account_use((account, usage): (&AccountName, &Allowance)) -> Use {
-    Use { account: account.clone(), spent: usage.spent, left: usage.left() }
+fn account_usage((account, usage): (&AccountName, &Allowance)) -> AccountUsage {
+    AccountUsage {
+        account: account.clone(),
+        admitted_units: usage.admitted_units,
+        units_left: usage.shared_units_left(),
+    }
 }
 
-fn target_limit((state, limit): (&TargetState, Limit)) -> Limited {
+fn target_limit((state, limit): (&TargetState, Limit)) -> TargetLimit {
     let Target { name, incarnation, .. } = &state.target;
-    Limited { target: name.clone(), incarnation: *incarnation, limit }
+    TargetLimit { target: name.clone(), incarnation: *incarnation, limit }
 }
 
-fn refuse(reason: Reason) -> Refusal {
-    Refusal { reason, not_run: true, retry_after: None, lack: None }
+fn refusal(reason: RefusalReason) -> Refusal {
+    Refusal { reason, not_run: true, retry_after: None, shortage: None }
 }
 
 impl Refusal {
-    fn after(self, wait: Duration) -> Refusal {
+    fn with_retry_after(self, wait: Duration) -> Refusal {
         Refusal { retry_after: Some(wait), ..self }
     }
 }
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -7,51 +7,56 @@
 use super::{
     State,
     capacity::Slot,
-    event::{Effect, Note, Ticket},
-    peers::Limited,
+    event::{Effect, LogEntry, Ticket},
+    peers::TargetLimit,
 };
 
 impl State {
     /// Handles an answer that names its target's rate limit, in requests per second.
-    pub(super) fn limited(
+    pub(super) fn handle_rate_limit(
         &mut self,
         now: Instant,
         ticket: Ticket,
         per_second: f64,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(running) = self.running(ticket) else {
+        let Some(in_flight) = self.in_flight(ticket) else {
             return;
         };
-        running.limited = true;
-        let (name, incarnation) = (running.slot.target.clone(), running.slot.incarnation);
+        in_flight.has_rate_limit = true;
+        let (name, incarnation) = (in_flight.slot.target.clone(), in_flight.slot.incarnation);
         let news = News { interval: Some(rate::interval(per_second)), at: now };
         if self.capacity.record_limit(now, &name, incarnation, news) {
-            effects
-                .push(Effect::Note(Note::Limited { target: name, per_second: Some(per_second) }));
+            effects.push(Effect::Log(LogEntry::RateLimitChanged {
+                target: name,
+                per_second: Some(per_second),
+            }));
         }
     }
 
     /// Records the limits in another process's row, which was made `age` ago.
-    pub(super) fn hear_limits(
+    pub(super) fn record_peer_limits(
         &mut self,
         now: Instant,
         age: Duration,
-        limits: &[Limited],
+        limits: &[TargetLimit],
         effects: &mut Vec<Effect>,
     ) {
-        for Limited { target, incarnation, limit } in limits {
+        for TargetLimit { target, incarnation, limit } in limits {
             let at = now.checked_sub(age + limit.age).unwrap_or(now);
             let news = News { interval: limit.interval, at };
             if self.capacity.record_limit(now, target, *incarnation, news) {
                 let per_second = limit.interval.map(rate::per_second);
-                effects.push(Effect::Note(Note::Limited { target: target.clone(), per_second }));
+                effects.push(Effect::Log(LogEntry::RateLimitChanged {
+                    target: target.clone(),
+                    per_second,
+                }));
             }
         }
     }
 
     /// Handles an answer that names no rate limit, to a request that was dispatched at `dispatched`.
-    pub(super) fn unlimited(
+    pub(super) fn handle_no_rate_limit(
         &mut self,
         now: Instant,
         slot: &Slot,
@@ -60,7 +65,7 @@
     ) {
         if self.capacity.clear_limit(now, slot, dispatched) {
             let target = slot.target.clone();
-            effects.push(Effect::Note(Note::Limited { target, per_second: None }));
+            effects.push(Effect::Log(LogEntry::RateLimitChanged { target, per_second: None }));
         }
     }
 }
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -5,11 +5,12 @@
 use model::id::{Fingerprint, PoolName, TargetName};
 
 use super::{
-    CRASH_WINDOW, CRASHES, Loss, REPEAT_WAIT, RETRY_MAX, RETRY_PART, State,
-    budget::{self, Budget},
+    BrokenDispatch, CRASH_WINDOW, QUARANTINE_CRASHES, RETRY_AFTER_MAX, RETRY_AFTER_SHARE,
+    RETRY_WAIT_MAX, State,
+    budget::{self, RetryBudget},
     capacity::Slot,
-    event::{Effect, Note, Now, Outcome, Reason, Refusal, Ticket},
-    pending::{Charge, Held, Pending, Running, Stage},
+    event::{Effect, LogEntry, Now, Outcome, Refusal, RefusalReason, Ticket},
+    pending::{HeldSlot, InFlight, PendingRequest, RetryCharge, Stage},
     queue,
 };
 
@@ -20,36 +21,41 @@
     /// The request waits for a slot at another target.
     Waiting,
     /// A slot is held for the request at another target.
-    Found(Held),
+    Found(HeldSlot),
 }
 
 impl State {
     /// Handles the first event or the head of an answer: records the time that it took, and that the target
     /// states no rate limit where the answer has none.
-    pub(super) fn began(&mut self, now: Instant, ticket: Ticket, effects: &mut Vec<Effect>) {
-        let Some(running) = self.running(ticket) else {
+    pub(super) fn handle_answer_began(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(in_flight) = self.in_flight(ticket) else {
             return;
         };
-        let time_to_first_event = now.saturating_duration_since(running.since);
-        running.first = Some(time_to_first_event);
-        let Running { mut slot, since, limited, .. } = running.clone();
-        self.capacity.learn(&mut slot, time_to_first_event);
-        if !limited {
-            self.unlimited(now, &slot, since, effects);
+        let time_to_first_event = now.saturating_duration_since(in_flight.dispatched_at);
+        in_flight.time_to_first_event = Some(time_to_first_event);
+        let InFlight { mut slot, dispatched_at, has_rate_limit, .. } = in_flight.clone();
+        self.capacity.record_first_event(&mut slot, time_to_first_event);
+        if !has_rate_limit {
+            self.handle_no_rate_limit(now, &slot, dispatched_at, effects);
         }
-        if let Some(running) = self.running(ticket) {
-            running.slot = slot;
+        if let Some(in_flight) = self.in_flight(ticket) {
+            in_flight.slot = slot;
         }
     }
 
     /// Returns a request's dispatch that is in flight; `None` where the request has ended or is only queued.
-    pub(super) fn running(&mut self, ticket: Ticket) -> Option<&mut Running> {
-        self.requests.get_mut(&ticket)?.running_mut()
+    pub(super) fn in_flight(&mut self, ticket: Ticket) -> Option<&mut InFlight> {
+        self.requests.get_mut(&ticket)?.in_flight_mut()
     }
 
     /// Handles the end of a dispatch: frees its slot, records the outcome for the target, and ends, retries
     /// or refuses the request. `events` counts the stream events of this dispatch.
-    pub(super) fn ended(
+    pub(super) fn handle_dispatch_ended(
         &mut self,
         now: Now,
         ticket: Ticket,
@@ -61,36 +67,42 @@
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let stage = std::mem::replace(&mut pending.stage, Stage::Waiting);
-        let (running, search) = match stage {
-            Stage::Running(running) => (running, Search::NotStarted),
-            Stage::Seeking(running) => (running, Search::Waiting),
-            Stage::Moving(running, held) => (running, Search::Found(held)),
+        let stage = std::mem::replace(&mut pending.stage, Stage::WaitingForSlot);
+        let (in_flight, search) = match stage {
+            Stage::InFlight(in_flight) => (in_flight, Search::NotStarted),
+            Stage::SeekingOtherTarget(in_flight) => (in_flight, Search::Waiting),
+            Stage::MovingToOtherTarget(in_flight, held) => (in_flight, Search::Found(held)),
             stage => {
                 pending.stage = stage;
                 return self.enqueue(ticket);
             }
         };
-        let target = running.slot.target.clone();
-        pending.begun |= begun || events > 0;
+        let target = in_flight.slot.target.clone();
+        pending.has_begun |= begun || events > 0;
         pending.may_have_run |= outcome.may_have_run();
         pending.has_failed_answer |= outcome == Outcome::Failed;
         let (pool, tier) = (pending.pool.clone(), pending.tier);
-        if outcome == Outcome::Done {
-            let hold_time = now.steady.saturating_duration_since(running.since);
-            self.holds.learn(&pool, tier, hold_time);
+        if outcome == Outcome::Completed {
+            let hold_time = now.steady.saturating_duration_since(in_flight.dispatched_at);
+            self.slot_times.record(&pool, tier, hold_time);
         }
-        self.learn_version(now.steady, ticket, &running, (outcome, events));
-        self.release(ticket, &running, effects);
-        self.record_outcome(now.steady, ticket, &running.slot, outcome, effects);
-        if matches!(outcome, Outcome::Done | Outcome::Expired) {
+        self.record_version_result(now.steady, ticket, &in_flight, (outcome, events));
+        self.release_dispatch(ticket, &in_flight, effects);
+        self.record_outcome(now.steady, ticket, &in_flight.slot, outcome, effects);
+        if matches!(outcome, Outcome::Completed | Outcome::DeadlineExceeded) {
             if let Search::Found(held) = &search {
-                self.release_held(ticket, held, effects);
+                self.release_held_slot(ticket, held, effects);
             }
-            if outcome == Outcome::Done {
-                self.remove(ticket, effects);
+            if outcome == Outcome::Completed {
+                self.end_request(ticket, effects);
             } else {
-                self.refuse(now.steady, ticket, Reason::Expired, true, effects);
+                self.refuse(
+                    now.steady,
+                    ticket,
+                    RefusalReason::DeadlineExceededMayHaveRun,
+                    true,
+                    effects,
+                );
             }
             return;
         }
@@ -101,10 +113,14 @@
             Outcome::Rejected | Outcome::Replaced => {
                 self.requeue_unexecuted(now, ticket, true, effects);
             }
-            Outcome::Unreached => self.requeue_unexecuted(now, ticket, false, effects),
+            Outcome::Unreachable => self.requeue_unexecuted(now, ticket, false, effects),
             _ => {
-                if outcome == Outcome::Silent {
-                    self.capacity.mark_down(now.steady, &target, running.slot.incarnation);
+                if outcome == Outcome::Unresponsive {
+                    self.capacity.back_off_unreachable(
+                        now.steady,
+                        &target,
+                        in_flight.slot.incarnation,
+                    );
                 }
                 self.retry_executed(now, ticket, target, effects);
             }
@@ -122,37 +138,41 @@
     ) {
         let is_failure = matches!(
             outcome,
-            Outcome::Failed | Outcome::Lost { .. } | Outcome::Rejected | Outcome::Silent
+            Outcome::Failed
+                | Outcome::Incomplete { .. }
+                | Outcome::Rejected
+                | Outcome::Unresponsive
         );
-        if is_failure || outcome == Outcome::Done {
-            self.capacity.judge(slot, is_failure);
+        if is_failure || outcome == Outcome::Completed {
+            self.capacity.record_outcome(slot, is_failure);
         }
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
         match outcome {
             Outcome::Rejected => {
-                pending.rejected.push(slot.target.clone());
-                self.capacity.mark_full(now, slot);
+                pending.rejected_by.push(slot.target.clone());
+                self.capacity.back_off_rejecting(now, slot);
             }
-            Outcome::Replaced => self.capacity.mark_gone(slot),
-            Outcome::Unreached => {
-                self.capacity.mark_down(now, &slot.target, slot.incarnation);
+            Outcome::Replaced => self.capacity.mark_replaced(slot),
+            Outcome::Unreachable => {
+                self.capacity.back_off_unreachable(now, &slot.target, slot.incarnation);
                 self.count_crashes(now, &slot.target, false, effects);
             }
-            Outcome::Lost { crashed: true } => {
-                let body = pending.request.fingerprint;
+            Outcome::Incomplete { crashed: true } => {
+                let fingerprint = pending.request.fingerprint;
                 let target = slot.target.clone();
-                let loss = Loss { at: now, target, body, reached: false };
-                self.lost.retain(|known| now.duration_since(known.at) < CRASH_WINDOW);
-                self.lost.push(loss);
+                let broken =
+                    BrokenDispatch { at: now, target, fingerprint, is_target_reached: false };
+                self.broken_dispatches.retain(|known| now.duration_since(known.at) < CRASH_WINDOW);
+                self.broken_dispatches.push(broken);
                 self.probe(&slot.target, effects);
             }
-            Outcome::Done
+            Outcome::Completed
             | Outcome::Failed
-            | Outcome::Lost { crashed: false }
-            | Outcome::Silent
-            | Outcome::Expired => {}
+            | Outcome::Incomplete { crashed: false }
+            | Outcome::Unresponsive
+            | Outcome::DeadlineExceeded => {}
         }
     }
 
@@ -171,33 +191,36 @@
         };
         let may_have_run = outcome.may_have_run();
         if !may_have_run {
-            pending.tried.pop();
+            pending.possibly_ran_at.pop();
         }
-        if !pending.begun {
-            pending.give_up = pending.until.min(now + REPEAT_WAIT);
+        if !pending.has_begun {
+            pending.wait_deadline = pending.deadline.min(now + RETRY_WAIT_MAX);
         }
         // The answer may have begun after the search was started, which rules out retries of some routes.
-        let allowed = pending.may_repeat(pending.tried.len());
+        let allowed = pending.may_retry(pending.possibly_ran_at.len());
         let body = pending.request.fingerprint;
         let allowed = allowed && !self.is_quarantined(&body);
         // The other target may have stopped taking requests since the slot was taken.
         let held = match search {
-            Search::Found(held) if allowed && self.capacity.is_open(now, &held.slot) => Some(held),
+            Search::Found(held) if allowed && self.capacity.is_slot_usable(now, &held.slot) => {
+                Some(held)
+            }
             Search::Found(held) => {
-                self.release_held(ticket, &held, effects);
+                self.release_held_slot(ticket, &held, effects);
                 None
             }
             Search::NotStarted | Search::Waiting => None,
         };
         if !allowed {
-            let reason = if may_have_run { Reason::Lost } else { Reason::Unserved };
+            let reason =
+                if may_have_run { RefusalReason::Lost } else { RefusalReason::AllDispatchesFailed };
             return self.refuse(now, ticket, reason, may_have_run, effects);
         }
         match (held, self.requests.get_mut(&ticket)) {
-            (Some(Held { slot, reservation }), Some(pending)) => {
-                let start =
+            (Some(HeldSlot { slot, reservation }), Some(pending)) => {
+                let dispatch =
                     queue::start_dispatch(now, pending, slot, reservation, &mut self.rollouts);
-                effects.push(Effect::Start(start));
+                effects.push(Effect::Dispatch(dispatch));
             }
             _ => self.enqueue(ticket),
         }
@@ -217,10 +240,16 @@
             return;
         };
         let pool = pending.pool.clone();
-        if was_delivered && pending.begun {
-            pending.charge = Charge::Due;
+        if was_delivered && pending.has_begun {
+            pending.charge = RetryCharge::NotYetTaken;
         } else if was_delivered && !self.take_retry(now.steady, &pool) {
-            return self.refuse(now.steady, ticket, Reason::Unserved, false, effects);
+            return self.refuse(
+                now.steady,
+                ticket,
+                RefusalReason::AllDispatchesFailed,
+                false,
+                effects,
+            );
         }
         self.enqueue(ticket);
     }
@@ -237,39 +266,40 @@
         let Some(pending) = self.requests.get_mut(&ticket) else {
             return;
         };
-        pending.tried.push(target);
-        let allowed = pending.may_repeat(pending.tried.len());
+        pending.possibly_ran_at.push(target);
+        let allowed = pending.may_retry(pending.possibly_ran_at.len());
         let (pool, body) = (pending.pool.clone(), pending.request.fingerprint);
-        let begun = pending.begun;
+        let begun = pending.has_begun;
         let is_harmless = !self.is_quarantined(&body);
         // An interrupted answer waits for a retry and a slot until the caller's deadline.
         if allowed && is_harmless && (begun || self.take_retry(now.steady, &pool)) {
             if let Some(pending) = self.requests.get_mut(&ticket) {
-                let wait = now.steady + REPEAT_WAIT;
-                pending.charge = if begun { Charge::Due } else { Charge::Paid };
-                pending.give_up = if begun { pending.until } else { pending.until.min(wait) };
+                let wait = now.steady + RETRY_WAIT_MAX;
+                pending.charge = if begun { RetryCharge::NotYetTaken } else { RetryCharge::Taken };
+                pending.wait_deadline =
+                    if begun { pending.deadline } else { pending.deadline.min(wait) };
             }
             return self.enqueue(ticket);
         }
-        self.refuse(now.steady, ticket, Reason::Lost, true, effects);
+        self.refuse(now.steady, ticket, RefusalReason::Lost, true, effects);
     }
 
     /// Counts an admitted request, which adds a fraction of a retry to the budget of its pool.
     pub(super) fn count_for_retry_budget(&mut self, now: Instant, pool: &PoolName) {
-        let (rule, processes) = (self.settings.repeats, self.place.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.count);
         self.budget(pool).count_request(now, &rule, processes);
     }
 
     /// Takes one retry from the budget of a pool. Returns `false` where none is left.
     pub(super) fn take_retry(&mut self, now: Instant, pool: &PoolName) -> bool {
-        let (rule, processes) = (self.settings.repeats, self.place.among);
+        let (rule, processes) = (self.settings.retry_budget, self.process_index.count);
         self.budget(pool).take_retry(now, &rule, processes)
     }
 
     /// Returns the retry budget of a pool; a new one holds no retries.
-    fn budget(&mut self, pool: &PoolName) -> &mut Budget {
-        let opened = self.opened;
-        self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(opened))
+    fn budget(&mut self, pool: &PoolName) -> &mut RetryBudget {
+        let started = self.started;
+        self.budgets.entry(pool.clone()).or_insert_with(|| budget::open(started))
     }
 
     /// Starts a probe of whether a target takes connections, unless one is in progress.
@@ -284,7 +314,7 @@
     }
 
     /// Handles the result of a probe; `reached` is `true` where the target took the connection.
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         now: Instant,
         target: &TargetName,
@@ -295,10 +325,11 @@
             return;
         };
         if reached {
-            let lost = self.lost.iter_mut().filter(|loss| loss.target == *target);
-            return lost.for_each(|loss| loss.reached = true);
+            let broken =
+                self.broken_dispatches.iter_mut().filter(|broken| broken.target == *target);
+            return broken.for_each(|broken| broken.is_target_reached = true);
         }
-        self.capacity.mark_down(now, target, incarnation);
+        self.capacity.back_off_unreachable(now, target, incarnation);
         self.count_crashes(now, target, false, effects);
     }
 
@@ -313,26 +344,29 @@
         restarted: bool,
         effects: &mut Vec<Effect>,
     ) {
-        self.lost.retain(|loss| now.duration_since(loss.at) < CRASH_WINDOW);
-        let is_crash = |loss: &Loss| loss.target == target && (restarted || !loss.reached);
-        let (crashes, rest) = std::mem::take(&mut self.lost).into_iter().partition(is_crash);
-        self.lost = rest;
-        let crashes: Vec<Loss> = crashes;
+        self.broken_dispatches.retain(|broken| now.duration_since(broken.at) < CRASH_WINDOW);
+        let is_crash = |broken: &BrokenDispatch| {
+            broken.target == target && (restarted || !broken.is_target_reached)
+        };
+        let (crashes, rest) =
+            std::mem::take(&mut self.broken_dispatches).into_iter().partition(is_crash);
+        self.broken_dispatches = rest;
+        let crashes: Vec<BrokenDispatch> = crashes;
         if !crashes.is_empty() {
-            let (target, bodies) = (target.to_owned(), crashes.len() as u32);
-            effects.push(Effect::Note(Note::Crashed { target, bodies }));
+            let (target, requests) = (target.to_owned(), crashes.len() as u32);
+            effects.push(Effect::Log(LogEntry::Crashed { target, requests }));
         }
-        for loss in crashes {
+        for broken in crashes {
             let own_process = (self.settings.address, self.settings.incarnation);
-            if self.crashes.add(now, loss.body, own_process) == CRASHES {
-                effects.push(Effect::Note(Note::Quarantined(loss.body)));
+            if self.crashes.add(now, broken.fingerprint, own_process) == QUARANTINE_CRASHES {
+                effects.push(Effect::Log(LogEntry::Quarantined(broken.fingerprint)));
             }
         }
     }
 
     /// Returns whether requests with this body are refused, since it reached the limit of crashes.
     pub(super) fn is_quarantined(&self, body: &Fingerprint) -> bool {
-        self.crashes.times(body) >= CRASHES
+        self.crashes.crashes_of(body) >= QUARANTINE_CRASHES
     }
 
     /// Ends a request without a whole answer: refuses it or, where a target answered with a failure and the
@@ -342,53 +376,62 @@
         &mut self,
         now: Instant,
         ticket: Ticket,
-        reason: Reason,
+        reason: RefusalReason,
         ran: bool,
         effects: &mut Vec<Effect>,
     ) {
-        let grounds = Box::new(self.grounds(now, ticket));
-        let Some(pending) = self.remove(ticket, effects) else {
+        let context = Box::new(self.refusal_context(now, ticket));
+        let Some(pending) = self.end_request(ticket, effects) else {
             return;
         };
-        if pending.has_failed_answer && !pending.begun {
-            return effects.push(Effect::Pass { ticket });
+        if pending.has_failed_answer && !pending.has_begun {
+            return effects.push(Effect::PassFailure { ticket });
         }
         let not_run = !ran && !pending.may_have_run;
         let reason = match (reason, not_run) {
-            (Reason::Late | Reason::NoRoom | Reason::Unserved, false) => Reason::Lost,
+            (
+                RefusalReason::DeadlineExceeded
+                | RefusalReason::NoFreeSlot
+                | RefusalReason::AllDispatchesFailed,
+                false,
+            ) => RefusalReason::Lost,
             _ => reason,
         };
-        let left = pending.until.saturating_duration_since(now);
-        let retry_after = not_run.then_some(left.mul_f64(RETRY_PART).min(RETRY_MAX));
-        let refusal = Refusal { reason, not_run, retry_after, lack: None };
-        effects.push(Effect::Refuse { ticket, refusal, grounds });
+        let left = pending.deadline.saturating_duration_since(now);
+        let retry_after = not_run.then_some(left.mul_f64(RETRY_AFTER_SHARE).min(RETRY_AFTER_MAX));
+        let refusal = Refusal { reason, not_run, retry_after, shortage: None };
+        effects.push(Effect::Refuse { ticket, refusal, context });
     }
 
     /// Ends a request and frees all that it holds: queue entry, reservations, slots, an unused retry and,
     /// where it provably didn't run, its quota units. Returns `None` where the request had ended before.
-    pub(super) fn remove(&mut self, ticket: Ticket, effects: &mut Vec<Effect>) -> Option<Pending> {
+    pub(super) fn end_request(
+        &mut self,
+        ticket: Ticket,
+        effects: &mut Vec<Effect>,
+    ) -> Option<PendingRequest> {
         self.dequeue(ticket);
-        self.refund(ticket);
+        self.refund_retry(ticket);
         let mut pending = self.requests.remove(&ticket)?;
-        pending.withdraw(effects);
+        pending.withdraw_reservations(effects);
         pending.deselect_from_rollout(&mut self.rollouts);
-        if let Some(running) = pending.running() {
-            self.release(ticket, running, effects);
+        if let Some(in_flight) = pending.in_flight() {
+            self.release_dispatch(ticket, in_flight, effects);
         }
-        if let Stage::Moving(_, held) = &pending.stage {
-            self.release_held(ticket, held, effects);
+        if let Stage::MovingToOtherTarget(_, held) = &pending.stage {
+            self.release_held_slot(ticket, held, effects);
         }
-        if !pending.may_have_run && matches!(pending.stage, Stage::Waiting) {
+        if !pending.may_have_run && matches!(pending.stage, Stage::WaitingForSlot) {
             self.return_units(&pending);
         }
         Some(pending)
     }
 
     /// Credits the units of a request that didn't run to its account's quota.
-    pub(super) fn return_units(&mut self, pending: &Pending) {
+    pub(super) fn return_units(&mut self, pending: &PendingRequest) {
         let allowance = pending.account.as_ref().and_then(|name| self.accounts.get_mut(name));
         if let Some(allowance) = allowance {
-            allowance.give_back(pending.units);
+            allowance.refund(pending.units);
         }
     }
 }
--- a/components/scheduler/tests/direct_agents.rs
+++ b/components/scheduler/tests/direct_agents.rs
@@ -8,11 +8,12 @@
 use std::time::Duration;
 
 use direct_support::{
-    Process, blank, limit, plan, process, request, reservations, route, start, starts, target,
+    Process, configuration, configured_process, dispatches, empty_process, limit, only_dispatch,
+    request, reservations, route, target,
 };
 use model::reservation::Load;
 use scheduler::direct::{
-    Effect, Event, Lapse, Outcome, Request, Target, Ticket,
+    DenialReason, Effect, Event, Outcome, Request, Target, Ticket,
     plan::{Repeat, Route},
 };
 use test_case::test_case;
@@ -24,19 +25,19 @@
 /// Targets that each have an agent.
 fn targets_with_agents(count: u16) -> Vec<Target> {
     let agent = |number| Some(direct_support::address(2_000 + number));
-    (0..count).map(|number| Target { agent: agent(number), ..target(number) }).collect()
+    (0..count).map(|number| Target { agent_address: agent(number), ..target(number) }).collect()
 }
 
 /// An entry process with one route whose streams can be resumed and one whose requests aren't repeated.
 fn entry(targets: Vec<Target>) -> Process {
-    let routes = vec![route("/resume/", Repeat::Resume), route("/never/", Repeat::Never)];
-    process(plan(1, routes, Some(limit(100_000.0))), targets)
+    let routes = vec![route("/resume/", Repeat::Resumable), route("/never/", Repeat::Never)];
+    configured_process(configuration(1, routes, Some(limit(100_000.0))), targets)
 }
 
 /// Numbers of the reservations that are withdrawn.
 fn withdrawn(effects: &[Effect]) -> Vec<u32> {
     let withdrawn = effects.iter().filter_map(|effect| match effect {
-        Effect::Withdraw { number, .. } => Some(*number),
+        Effect::WithdrawReservation { number, .. } => Some(*number),
         _ => None,
     });
     withdrawn.collect()
@@ -46,8 +47,8 @@
     process.send(Event::Granted { ticket, number, load: Load::default() })
 }
 
-fn deny(process: &mut Process, ticket: Ticket, number: u32, lapse: Lapse) -> Vec<Effect> {
-    process.send(Event::Denied { ticket, number, lapse })
+fn deny(process: &mut Process, ticket: Ticket, number: u32, reason: DenialReason) -> Vec<Effect> {
+    process.send(Event::Denied { ticket, number, reason })
 }
 
 #[test]
@@ -59,7 +60,7 @@
 
     assert_eq!(reserved.iter().map(|reserved| reserved.number).collect::<Vec<_>>(), [1, 2]);
     assert_ne!(reserved[0].target, reserved[1].target);
-    assert_eq!(start(&effects).target, reserved[1].target);
+    assert_eq!(only_dispatch(&effects).target, reserved[1].target);
     assert_eq!(withdrawn(&effects), [1]);
 }
 
@@ -69,7 +70,7 @@
     let mut reserved = reservations(&entry.arrive(request(1, "/never/"))).len();
 
     for _ in 0..59 {
-        reserved += reservations(&entry.pass(10 * MS)).len();
+        reserved += reservations(&entry.advance(10 * MS)).len();
     }
 
     assert!((4..=6).contains(&reserved), "{reserved}");
@@ -86,10 +87,10 @@
 /// Lets the entry process receive rows from this many other entry processes.
 fn discover_peers(entry: &mut Process, others: u16) {
     for number in 0..others {
-        let mut other = blank(50 + number);
+        let mut other = empty_process(50 + number);
         other.now = entry.now;
-        let row = other.state.row(other.now.steady);
-        entry.send(Event::Heard(vec![row]));
+        let row = other.state.next_row(other.now.steady);
+        entry.send(Event::RowsReceived(vec![row]));
     }
 }
 
@@ -105,7 +106,7 @@
 
     let (first, second) = (reserved(target_without_agent()), reserved(reversed));
 
-    assert_eq!((first.target.as_str(), first.beside), ("target-9", false));
+    assert_eq!((first.target.as_str(), first.is_local_agent), ("target-9", false));
     assert_eq!(first.agent, second.agent);
     assert!(first.slots > target(9).slots);
 }
@@ -117,7 +118,7 @@
 
     let effects = entry.arrive(request(1, "/never/"));
 
-    assert_eq!(start(&effects).target, "target-9");
+    assert_eq!(only_dispatch(&effects).target, "target-9");
     assert!(reservations(&effects).is_empty());
 }
 
@@ -137,7 +138,7 @@
 
     let effects = entry.arrive(request(1, "/never/"));
 
-    assert_eq!(starts(&effects).len(), usize::from(reservations(&effects).is_empty()));
+    assert_eq!(dispatches(&effects).len(), usize::from(reservations(&effects).is_empty()));
     reservations(&effects).len()
 }
 
@@ -147,11 +148,12 @@
     discover_peers(&mut entry, 2);
     let before = reservations(&entry.arrive(request(1, "/never/"))).remove(0);
     let mark_leaving = |target: Target| Target {
-        ready: target.ready && target.agent != Some(before.agent),
+        is_ready: target.is_ready && target.agent_address != Some(before.agent),
         ..target
     };
 
-    let effects = entry.list(target_without_agent().into_iter().map(mark_leaving).collect());
+    let effects =
+        entry.list_targets(target_without_agent().into_iter().map(mark_leaving).collect());
 
     assert_eq!(withdrawn(&effects), [before.number]);
     let after = reservations(&effects).remove(0);
@@ -167,7 +169,7 @@
 
     let late = grant(&mut entry, 1, 2);
 
-    assert!(starts(&late).is_empty());
+    assert!(dispatches(&late).is_empty());
     assert_eq!(withdrawn(&late), [2]);
 }
 
@@ -177,7 +179,7 @@
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
 
-    let effects = entry.end(1, Outcome::Done);
+    let effects = entry.end_dispatch(1, Outcome::Completed);
 
     assert_eq!(withdrawn(&effects), [1]);
 }
@@ -187,7 +189,7 @@
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.send(Event::Left { ticket: 1, events: 0 });
+    let effects = entry.send(Event::CallerDisconnected { ticket: 1, events: 0 });
 
     assert_eq!(withdrawn(&effects), [1, 2]);
 }
@@ -197,7 +199,7 @@
     let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.pass(Duration::from_millis(600));
+    let effects = entry.advance(Duration::from_millis(600));
 
     assert_eq!(direct_support::refusals(&effects).len(), 1);
     assert_eq!(withdrawn(&effects), [1, 2]);
@@ -205,17 +207,17 @@
 
 #[test_case(vec![]; "if its target is unlisted")]
 #[test_case(
-    vec![Target { ready: false, ..targets_with_agents(1).remove(0) }];
+    vec![Target { is_ready: false, ..targets_with_agents(1).remove(0) }];
     "if its target is leaving"
 )]
 fn a_reservation_is_withdrawn(remaining: Vec<Target>) {
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let effects = entry.list(remaining);
+    let effects = entry.list_targets(remaining);
 
     assert_eq!(withdrawn(&effects), [1]);
-    assert!(starts(&grant(&mut entry, 1, 1)).is_empty());
+    assert!(dispatches(&grant(&mut entry, 1, 1)).is_empty());
 }
 
 #[test]
@@ -223,12 +225,12 @@
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let at_once = deny(&mut entry, 1, 1, Lapse::Away);
-    entry.end(1, Outcome::Done);
-    entry.pass(FIRST_BACKOFF_PASSED);
+    let at_once = deny(&mut entry, 1, 1, DenialReason::AgentUnreachable);
+    entry.end_dispatch(1, Outcome::Completed);
+    entry.advance(FIRST_BACKOFF_PASSED);
     let later = entry.arrive(request(2, "/never/"));
 
-    assert_eq!(start(&at_once).target, "target-0");
+    assert_eq!(only_dispatch(&at_once).target, "target-0");
     assert_eq!(reservations(&later).len(), 1);
 }
 
@@ -237,14 +239,14 @@
     let mut entry = entry(targets_with_agents(2));
     entry.arrive(request(1, "/never/"));
     grant(&mut entry, 1, 1);
-    let reached = entry.state.row(entry.now.steady).running;
+    let reached = entry.state.next_row(entry.now.steady).target_loads;
     entry.arrive(request(2, "/never/"));
 
-    deny(&mut entry, 2, 1, Lapse::Away);
-    let unreachable = entry.state.row(entry.now.steady).running;
+    deny(&mut entry, 2, 1, DenialReason::AgentUnreachable);
+    let unreachable = entry.state.next_row(entry.now.steady).target_loads;
 
     assert!(reached.is_empty(), "{reached:?}");
-    assert_eq!(unreachable.iter().map(|busy| busy.requests).sum::<u32>(), 1, "{unreachable:?}");
+    assert_eq!(unreachable.iter().map(|load| load.requests).sum::<u32>(), 1, "{unreachable:?}");
 }
 
 #[test]
@@ -252,10 +254,10 @@
     let mut entry = entry(targets_with_agents(1));
     entry.arrive(request(1, "/never/"));
 
-    let at_once = deny(&mut entry, 1, 1, Lapse::Unreached);
-    let later = entry.pass(FIRST_BACKOFF_PASSED);
+    let at_once = deny(&mut entry, 1, 1, DenialReason::TargetUnreachable);
+    let later = entry.advance(FIRST_BACKOFF_PASSED);
 
-    assert!(starts(&at_once).is_empty() && reservations(&at_once).is_empty());
+    assert!(dispatches(&at_once).is_empty() && reservations(&at_once).is_empty());
     assert_eq!(reservations(&later).len(), 1);
 }
 
@@ -263,11 +265,11 @@
 fn a_stream_that_broke_off_is_reserved_at_other_targets_with_the_highest_rank() {
     let mut entry = entry(targets_with_agents(3));
     entry.arrive(request(1, "/resume/"));
-    let first = start(&grant(&mut entry, 1, 1)).target;
-    entry.send(Event::Began { ticket: 1 });
+    let first = only_dispatch(&grant(&mut entry, 1, 1)).target;
+    entry.send(Event::AnswerBegan { ticket: 1 });
 
-    let outcome = Outcome::Lost { crashed: false };
-    let effects = entry.send(Event::Ended { ticket: 1, outcome, begun: true, events: 1 });
+    let outcome = Outcome::Incomplete { crashed: false };
+    let effects = entry.send(Event::DispatchEnded { ticket: 1, outcome, begun: true, events: 1 });
 
     let again = reservations(&effects);
     assert_eq!(again.len(), 2);
@@ -281,8 +283,8 @@
 
     for ticket in 0..400_u64 {
         // The draws of real requests are hashes, so spread the tickets over the whole range.
-        let draw = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let request = scheduler::direct::Request { draw, ..request(ticket, "/never/") };
+        let spread = ticket.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let request = scheduler::direct::Request { spread, ..request(ticket, "/never/") };
         for reserved in reservations(&entry.arrive(request)) {
             let number = reserved.target.trim_start_matches("target-");
             reservations_per_target
@@ -306,31 +308,32 @@
     const PATIENCE: Duration = Duration::from_secs(30);
     // Retries that the budget allows in a window without new requests that follows another such window.
     const MAX_RETRIES: usize = 50;
-    let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resume) };
-    let mut entry = process(plan(1, vec![patient], None), targets_with_agents(99));
+    let patient = Route { timeout: PATIENCE, ..route("/patient/", Repeat::Resumable) };
+    let mut entry =
+        configured_process(configuration(1, vec![patient], None), targets_with_agents(99));
     for _ in 0..30 {
-        entry.pass(Duration::from_secs(1));
-        entry.confirm();
+        entry.advance(Duration::from_secs(1));
+        entry.confirm_configuration();
     }
     for ticket in 0..90 {
-        let request = Request { patience: Some(PATIENCE), ..request(ticket, "/patient/") };
+        let request = Request { timeout: Some(PATIENCE), ..request(ticket, "/patient/") };
         let number = reservations(&entry.arrive(request))[0].number;
         grant(&mut entry, ticket, number);
     }
     let mut reserved = Vec::new();
     for ticket in 0..90 {
-        let outcome = Outcome::Lost { crashed: false };
-        let broken = Event::Ended { ticket, outcome, begun: true, events: 3 };
+        let outcome = Outcome::Incomplete { crashed: false };
+        let broken = Event::DispatchEnded { ticket, outcome, begun: true, events: 3 };
         reserved.extend(reservations(&entry.send(broken)));
     }
     for _ in 0..200 {
-        reserved.extend(reservations(&entry.pass(100 * MS)));
-        entry.confirm();
+        reserved.extend(reservations(&entry.advance(100 * MS)));
+        entry.confirm_configuration();
     }
 
     let resumed =
         reserved.iter().flat_map(|reserved| grant(&mut entry, reserved.ticket, reserved.number));
-    let resumed = starts(&resumed.collect::<Vec<_>>()).len();
+    let resumed = dispatches(&resumed.collect::<Vec<_>>()).len();
 
     assert!(resumed <= MAX_RETRIES, "{resumed} of {MAX_RETRIES}");
 }
--- a/components/scheduler/tests/direct_fuzz.rs
+++ b/components/scheduler/tests/direct_fuzz.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use direct_support::{Process, limit, plan, process, request, route, targets};
+use direct_support::{Process, configuration, configured_process, limit, request, route, targets};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
@@ -74,16 +74,17 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let repeat = prop_oneof![Just(Repeat::Safe), Just(Repeat::Resume), Just(Repeat::Never)];
+    let repeat =
+        prop_oneof![Just(Repeat::Idempotent), Just(Repeat::Resumable), Just(Repeat::Never)];
     let outcome = prop_oneof![
-        4 => Just(Outcome::Done),
+        4 => Just(Outcome::Completed),
         1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Replaced),
-        1 => Just(Outcome::Unreached),
+        1 => Just(Outcome::Unreachable),
         1 => Just(Outcome::Failed),
-        1 => Just(Outcome::Silent),
-        1 => Just(Outcome::Expired),
-        2 => any::<bool>().prop_map(|crashed| Outcome::Lost { crashed }),
+        1 => Just(Outcome::Unresponsive),
+        1 => Just(Outcome::DeadlineExceeded),
+        2 => any::<bool>().prop_map(|crashed| Outcome::Incomplete { crashed }),
     ];
     prop_oneof![
         6 => repeat.prop_map(Step::Arrive),
@@ -103,25 +104,26 @@
     fn check(&mut self, effects: &[Effect]) {
         for effect in effects {
             match effect {
-                Effect::Start(start) => {
+                Effect::Dispatch(dispatch) => {
                     assert!(
-                        self.listed.contains(&start.target),
+                        self.listed.contains(&dispatch.target),
                         "target isn't listed: {}",
-                        start.target
+                        dispatch.target
                     );
                     let running_at =
                         self.requests.values().filter_map(|request| request.running_at.as_ref());
-                    let used_slots = running_at.filter(|target| **target == start.target).count();
-                    assert!(used_slots < SLOTS_PER_TARGET, "{} has no free slot", start.target);
+                    let used_slots =
+                        running_at.filter(|target| **target == dispatch.target).count();
+                    assert!(used_slots < SLOTS_PER_TARGET, "{} has no free slot", dispatch.target);
                     let request =
-                        self.requests.get_mut(&start.ticket).expect("the request has arrived");
+                        self.requests.get_mut(&dispatch.ticket).expect("the request has arrived");
                     assert!(!request.has_ended && request.running_at.is_none(), "{request:?}");
                     assert!(request.possible_runs < MAX_RUNS, "{request:?}");
                     assert!(
                         request.retry_policy != Repeat::Never || request.possible_runs == 0,
                         "{request:?}"
                     );
-                    request.running_at = Some(start.target.clone());
+                    request.running_at = Some(dispatch.target.clone());
                 }
                 Effect::Refuse { ticket, refusal, .. } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
@@ -134,15 +136,15 @@
                     assert!(refusal.not_run || refusal.retry_after.is_none(), "{refusal:?}");
                     request.has_ended = true;
                 }
-                Effect::Pass { ticket } => {
+                Effect::PassFailure { ticket } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
                     assert!(!request.has_ended && request.running_at.is_none(), "{request:?}");
                     request.has_ended = true;
                 }
-                Effect::Reserve(_) | Effect::Withdraw { .. } => {
+                Effect::Reserve(_) | Effect::WithdrawReservation { .. } => {
                     panic!("no target has an agent: {effect:?}")
                 }
-                Effect::Leave { ticket, target } => {
+                Effect::CancelDispatch { ticket, target } => {
                     let request = self.requests.get_mut(ticket).expect("the request has arrived");
                     assert!(request.may_seek && !request.has_ended, "{request:?}");
                     assert!(
@@ -151,7 +153,7 @@
                     );
                     request.may_seek = false;
                 }
-                Effect::Fetch { .. } | Effect::Probe { .. } | Effect::Note(_) => {}
+                Effect::Fetch { .. } | Effect::Probe { .. } | Effect::Log(_) => {}
             }
         }
     }
@@ -166,24 +168,25 @@
     fn list(&mut self, process: &mut Process, count: u16) -> Vec<Effect> {
         let listed = targets(count);
         self.listed = listed.iter().map(|target| target.name.clone()).collect();
-        process.list(listed)
+        process.list_targets(listed)
     }
 }
 
 /// Returns the path of the route that allows these retries.
 fn path(retry_policy: Repeat) -> &'static str {
     match retry_policy {
-        Repeat::Safe => "/safe/",
-        Repeat::Resume => "/resume/",
+        Repeat::Idempotent => "/safe/",
+        Repeat::Resumable => "/resume/",
         Repeat::Never => "/never/",
     }
 }
 
 /// Runs the steps, then lets all waits end, and checks that each request has ended or is still in flight.
 fn run(steps: Vec<Step>) {
-    let policies = [Repeat::Safe, Repeat::Resume, Repeat::Never];
+    let policies = [Repeat::Idempotent, Repeat::Resumable, Repeat::Never];
     let routes = policies.map(|policy| route(path(policy), policy)).to_vec();
-    let mut process = process(plan(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
+    let mut process =
+        configured_process(configuration(1, routes, Some(limit(1_000.0))), targets(TARGET_COUNT));
     let mut oracle = Oracle::default();
     oracle.list(&mut process, TARGET_COUNT);
     for (ticket, step) in (0..).zip(steps) {
@@ -207,12 +210,17 @@
                 // Only a target that ran the request can have sent a part of the answer, and only a stream is
                 // passed on before it is complete.
                 let begun =
-                    begun && outcome.may_have_run() && request.retry_policy == Repeat::Resume;
+                    begun && outcome.may_have_run() && request.retry_policy == Repeat::Resumable;
                 request.running_at = None;
                 request.may_seek = false;
                 request.possible_runs += usize::from(outcome.may_have_run());
-                request.has_ended = outcome == Outcome::Done;
-                process.send(Event::Ended { ticket, outcome, begun, events: u32::from(begun) })
+                request.has_ended = outcome == Outcome::Completed;
+                process.send(Event::DispatchEnded {
+                    ticket,
+                    outcome,
+                    begun,
+                    events: u32::from(begun),
+                })
             }
             Step::TargetStalls(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -220,7 +228,7 @@
                 };
                 let request = oracle.requests.get_mut(&ticket).expect("the request is in flight");
                 request.may_seek |= request.retry_policy != Repeat::Never;
-                process.send(Event::Quiet { ticket, begun: false })
+                process.send(Event::TargetUnresponsive { ticket, begun: false })
             }
             Step::TargetResumes(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -228,7 +236,7 @@
                 };
                 oracle.requests.get_mut(&ticket).expect("the request is in flight").may_seek =
                     false;
-                process.send(Event::Spoke { ticket })
+                process.send(Event::TargetResumed { ticket })
             }
             Step::CallerLeaves(nth) => {
                 let Some(ticket) = oracle.nth_running(nth) else {
@@ -237,22 +245,22 @@
                 let request = oracle.requests.get_mut(&ticket).expect("the request is in flight");
                 request.running_at = None;
                 request.has_ended = true;
-                process.send(Event::Left { ticket, events: 0 })
+                process.send(Event::CallerDisconnected { ticket, events: 0 })
             }
-            Step::PassMs(ms) => process.pass(Duration::from_millis(ms.into())),
-            Step::Confirm => process.confirm(),
+            Step::PassMs(ms) => process.advance(Duration::from_millis(ms.into())),
+            Step::Confirm => process.confirm_configuration(),
             Step::List(count) => {
                 // The process keeps using targets that vanish from the list while an outage of the platform
                 // has just ended; 2.5 s later, it doesn't.
-                oracle.check(&process.confirm());
-                oracle.check(&process.pass(Duration::from_millis(2_500)));
-                oracle.check(&process.confirm());
+                oracle.check(&process.confirm_configuration());
+                oracle.check(&process.advance(Duration::from_millis(2_500)));
+                oracle.check(&process.confirm_configuration());
                 oracle.list(&mut process, count)
             }
         };
         oracle.check(&effects);
     }
-    let effects = process.pass(Duration::from_secs(10));
+    let effects = process.advance(Duration::from_secs(10));
     oracle.check(&effects);
     let accounted_for = oracle
         .requests
--- a/components/scheduler/tests/direct_limits.rs
+++ b/components/scheduler/tests/direct_limits.rs
@@ -10,17 +10,17 @@
 };
 
 use direct_support::{
-    GONE, Process, WINDOW, address, blank, limit, plan, refusals, request, route, settings, starts,
-    targets,
+    PEER_TIMEOUT, Process, TOLERANCE_WINDOW, address, configuration, dispatches, empty_process,
+    limit, refusals, request, route, settings, targets,
 };
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
 };
 use scheduler::direct::{
-    self, Effect, Event, Introduction, Now, Outcome, Ticket, Tokens,
+    self, Effect, Event, Now, Outcome, Registration, Ticket, Tokens,
     allowance::Tolerance,
-    plan::{Part, Repeat, Route},
+    plan::{PoolShare, Repeat, Route},
 };
 use test_case::test_case;
 
@@ -30,7 +30,7 @@
 const STEP: Duration = Duration::from_millis(25);
 /// Limit of the account in units a second; also its burst in units.
 const RATE: f64 = 10_000.0;
-const TOLERANCE: Tolerance = Tolerance { ratio: 0.1, slack: 12_000.0, window: WINDOW };
+const TOLERANCE: Tolerance = Tolerance { ratio: 0.1, slack: 12_000.0, window: TOLERANCE_WINDOW };
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -108,14 +108,14 @@
     settings.tolerance = TOLERANCE;
     let address = settings.address;
     let mut process = Process { state: direct::open(now.steady, settings), now, address, era: 1 };
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(RATE)));
-    process.send(Event::Planned(Arc::new(plan)));
-    process.list(targets(60));
+    let configuration = configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(RATE)));
+    process.send(Event::ConfigurationRead(Arc::new(configuration)));
+    process.list_targets(targets(60));
     process
 }
 
 fn fleet() -> Fleet {
-    let now = blank(0).now;
+    let now = empty_process(0).now;
     let processes =
         (0..PROCESSES).map(|number| start_process(number, u64::from(number), now)).collect();
     Fleet {
@@ -180,13 +180,15 @@
     fn register_all(&mut self) {
         self.last_stamp += 1;
         let stamp = self.last_stamp;
-        let registration = |number| Introduction { address: address(number + 1), stamp };
+        let registration = |number| Registration { address: address(number + 1), stamp };
         let reaching = (0..PROCESSES).filter(|&number| self.reaches_platform(number));
-        let registered: Vec<Introduction> = reaching.map(registration).collect();
+        let registered: Vec<Registration> = reaching.map(registration).collect();
         for number in 0..PROCESSES {
             if self.reaches_platform(number) {
-                self.run(number, |process| process.confirm());
-                self.run(number, |process| process.send(Event::Introduced(registered.clone())));
+                self.run(number, |process| process.confirm_configuration());
+                self.run(number, |process| {
+                    process.send(Event::PeersDiscovered(registered.clone()))
+                });
             }
         }
     }
@@ -199,10 +201,10 @@
                     continue;
                 }
                 let now = self.processes[0].now.steady;
-                let from_a = self.processes[usize::from(a)].state.row(now);
-                let from_b = self.processes[usize::from(b)].state.row(now);
-                self.run(b, |process| process.send(Event::Heard(vec![from_a])));
-                self.run(a, |process| process.send(Event::Heard(vec![from_b])));
+                let from_a = self.processes[usize::from(a)].state.next_row(now);
+                let from_b = self.processes[usize::from(b)].state.next_row(now);
+                self.run(b, |process| process.send(Event::RowsReceived(vec![from_a])));
+                self.run(a, |process| process.send(Event::RowsReceived(vec![from_b])));
                 self.fetch(a, b);
                 self.fetch(b, a);
             }
@@ -213,14 +215,14 @@
     fn fetch(&mut self, receiver: u16, sender: u16) {
         let sender = &self.processes[usize::from(sender)];
         let sender = Process { state: sender.state.clone(), ..*sender };
-        self.run(receiver, |process| process.ask(&sender));
+        self.run(receiver, |process| process.sync_from(&sender));
     }
 
     /// Sends a request, which ends as soon as it is dispatched, to a process.
     fn send_request(&mut self, number: u16, prompt: u32) {
         self.last_ticket += 1;
         let mut request = request(self.last_ticket, "/a/");
-        request.tokens = Some(Tokens { prompt, output: 0 });
+        request.tokens = Some(Tokens { prompt, max_output: 0 });
         self.waiting.insert((number, self.last_ticket), prompt);
         self.run(number, |process| process.arrive(request));
     }
@@ -232,10 +234,10 @@
             let process = &mut self.processes[usize::from(number)];
             let now = process.now.steady;
             let mut next = Vec::new();
-            for start in starts(&effects) {
-                next.extend(process.end(start.ticket, Outcome::Done));
+            for dispatch in dispatches(&effects) {
+                next.extend(process.end_dispatch(dispatch.ticket, Outcome::Completed));
                 let prompt =
-                    self.waiting.remove(&(number, start.ticket)).expect("the request was sent");
+                    self.waiting.remove(&(number, dispatch.ticket)).expect("the request was sent");
                 *self.served.entry(prompt).or_default() += 1;
                 self.dispatched.push_back((now, f64::from(prompt)));
             }
@@ -246,7 +248,7 @@
 
     fn measure(&mut self) {
         let now = self.processes[0].now.steady;
-        while self.dispatched.front().is_some_and(|(at, _)| now - *at > WINDOW) {
+        while self.dispatched.front().is_some_and(|(at, _)| now - *at > TOLERANCE_WINDOW) {
             self.dispatched.pop_front();
         }
         let sum = self.dispatched.iter().map(|(_, units)| units).sum();
@@ -265,7 +267,7 @@
     /// Lets the time of one step pass.
     fn pass(&mut self) {
         for number in 0..PROCESSES {
-            self.run(number, |process| process.pass(STEP));
+            self.run(number, |process| process.advance(STEP));
         }
     }
 
@@ -287,7 +289,7 @@
 
 /// Returns the most units that may be dispatched within a window.
 fn allowed_units() -> f64 {
-    let limit = RATE * WINDOW.as_secs_f64() + RATE;
+    let limit = RATE * TOLERANCE_WINDOW.as_secs_f64() + RATE;
     limit * (1.0 + TOLERANCE.ratio) + TOLERANCE.slack
 }
 
@@ -335,7 +337,8 @@
         fleet.send_request(2, 190);
     }
 
-    let window = usize::try_from(WINDOW.as_millis() / STEP.as_millis()).expect("a small number");
+    let window =
+        usize::try_from(TOLERANCE_WINDOW.as_millis() / STEP.as_millis()).expect("a small number");
     assert!(before > 0);
     assert!(fleet.dispatched.len() >= window, "{} of {window}", fleet.dispatched.len());
 }
@@ -394,13 +397,13 @@
     fleet.inject(Fault::CutPair(0, 1));
     fleet.inject(Fault::CutPair(0, 2));
     fleet.inject(Fault::CutPair(0, 3));
-    let steps = (GONE * 3).as_millis() / STEP.as_millis();
+    let steps = (PEER_TIMEOUT * 3).as_millis() / STEP.as_millis();
 
     for step in 0..u64::try_from(steps).expect("a small number") {
         fleet.overload(step, 0);
     }
 
-    assert!(fleet.processes[0].state.is_lonely(fleet.processes[0].now.steady));
+    assert!(fleet.processes[0].state.is_missing_peers(fleet.processes[0].now.steady));
     assert!(
         fleet.max_window_units <= allowed_units(),
         "{} of {}",
@@ -526,27 +529,34 @@
 /// free target, stayed charged at all other processes, which refused the account far below its limit.
 #[test]
 fn units_that_another_process_gave_back_are_not_counted_as_used() {
-    let no_targets = Part { pool: "no-targets".into(), weight: 1 };
-    let no_targets = Route { parts: vec![no_targets], ..route("/b/", Repeat::Safe) };
-    let plan = Arc::new(plan(1, vec![route("/a/", Repeat::Safe), no_targets], Some(limit(RATE))));
-    let mut processes = [1, 2].map(blank);
+    let no_targets = PoolShare { pool: "no-targets".into(), weight: 1 };
+    let no_targets = Route { pools: vec![no_targets], ..route("/b/", Repeat::Idempotent) };
+    let configuration = Arc::new(configuration(
+        1,
+        vec![route("/a/", Repeat::Idempotent), no_targets],
+        Some(limit(RATE)),
+    ));
+    let mut processes = [1, 2].map(empty_process);
     for process in &mut processes {
-        process.send(Event::Planned(Arc::clone(&plan)));
-        process.confirm();
-        process.list(targets(60));
+        process.send(Event::ConfigurationRead(Arc::clone(&configuration)));
+        process.confirm_configuration();
+        process.list_targets(targets(60));
     }
     let pass = |processes: &mut [Process; 2], time: Duration| {
         let rows = processes.each_mut().map(|process| {
-            process.pass(time);
-            process.confirm();
-            process.state.row(process.now.steady)
+            process.advance(time);
+            process.confirm_configuration();
+            process.state.next_row(process.now.steady)
         });
         let [first, second] = processes;
         let [of_first, of_second] = rows;
-        [first.send(Event::Heard(vec![of_second])), second.send(Event::Heard(vec![of_first]))]
+        [
+            first.send(Event::RowsReceived(vec![of_second])),
+            second.send(Event::RowsReceived(vec![of_first])),
+        ]
     };
     let request_with_tokens = |ticket, path, prompt| {
-        let tokens = Some(Tokens { prompt, output: 0 });
+        let tokens = Some(Tokens { prompt, max_output: 0 });
         direct::Request { tokens, ..request(ticket, path) }
     };
     (0..20).for_each(|_| drop(pass(&mut processes, Duration::from_millis(200))));
@@ -561,7 +571,7 @@
     let effects =
         (200..220).flat_map(|ticket| processes[1].arrive(request_with_tokens(ticket, "/a/", 190)));
 
-    assert_eq!(starts(&effects.collect::<Vec<Effect>>()).len(), 20);
+    assert_eq!(dispatches(&effects.collect::<Vec<Effect>>()).len(), 20);
 }
 
 /// Guards against requests that wait for units for most of their time and are refused when it is too late
@@ -570,16 +580,17 @@
 fn a_request_that_would_wait_too_long_for_units_is_refused_at_once_with_a_retry_time() {
     // A target latency of 800 ms gives a longest wait of 600 ms, of which 240 ms may pass while a request
     // waits for units: the time that the units of two requests take.
-    let plan = plan(1, vec![route("/a/", Repeat::Safe)], Some(limit(1_000.0)));
-    let mut process = direct_support::process(plan, targets(99));
+    let configuration =
+        configuration(1, vec![route("/a/", Repeat::Idempotent)], Some(limit(1_000.0)));
+    let mut process = direct_support::configured_process(configuration, targets(99));
     let request = |ticket| {
-        let tokens = Some(Tokens { prompt: 100, output: 0 });
+        let tokens = Some(Tokens { prompt: 100, max_output: 0 });
         direct::Request { tokens, ..direct_support::request(ticket, "/a/") }
     };
 
     let effects: Vec<Effect> = (0..40).flat_map(|ticket| process.arrive(request(ticket))).collect();
 
-    let (started, refused) = (starts(&effects).len(), refusals(&effects));
+    let (started, refused) = (dispatches(&effects).len(), refusals(&effects));
     assert_eq!(started + 2 + refused.len(), 40);
     let wait = refused[0].1.retry_after.expect("the refusal states a retry time");
     assert!(wait > Duration::from_millis(240) && wait <= Duration::from_millis(340), "{wait:?}");
--- a/components/scheduler/tests/direct_peers.rs
+++ b/components/scheduler/tests/direct_peers.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use direct_support::{Process, blank};
+use direct_support::{Process, empty_process};
 use scheduler::direct::{Event, peers, peers::Row};
 use test_case::test_case;
 
@@ -19,12 +19,13 @@
 
 /// Returns idle processes that have current rows of each other.
 fn processes(count: u16) -> Vec<Process> {
-    let mut processes: Vec<Process> = (1..=count).map(blank).collect();
+    let mut processes: Vec<Process> = (1..=count).map(empty_process).collect();
     // A row lists only processes whose rows had arrived before, so it takes two rounds.
     for _ in 0..2 {
-        let rows: Vec<Row> = processes.iter_mut().map(|it| it.state.row(it.now.steady)).collect();
+        let rows: Vec<Row> =
+            processes.iter_mut().map(|it| it.state.next_row(it.now.steady)).collect();
         for process in &mut processes {
-            process.send(Event::Heard(rows.clone()));
+            process.send(Event::RowsReceived(rows.clone()));
         }
     }
     processes
@@ -47,7 +48,7 @@
 
     for exchange in 7..7 + EXCHANGES_PER_CYCLE {
         let receivers: Vec<usize> =
-            (0..others).filter(|&other| peers::tells_all(exchange, 3, other)).collect();
+            (0..others).filter(|&other| peers::sends_all_rows(exchange, 3, other)).collect();
         assert!(receivers.len() <= max_receivers, "{receivers:?}");
         receivers.into_iter().for_each(|receiver| times_sent[receiver] += 1);
     }
@@ -66,7 +67,7 @@
         for receiver in 1..processes {
             // A process exchanges with those of higher addresses. Its own address isn't in its list of
             // addresses, so the index of the receiver is one lower there.
-            let sends_all = |&own: &usize| peers::tells_all(exchange, own, receiver - 1);
+            let sends_all = |&own: &usize| peers::sends_all_rows(exchange, own, receiver - 1);
 
             let senders = (0..receiver).filter(sends_all).count();
 
@@ -84,18 +85,18 @@
     let mut processes = processes(count);
     let others = usize::from(count) - 1;
     let process = &mut processes[others / 2];
-    let own_size = packed_size(&[process.state.row(process.now.steady)]);
-    let full_size = own_size + packed_size(&process.state.rows(process.now.steady));
+    let own_size = packed_size(&[process.state.next_row(process.now.steady)]);
+    let full_size = own_size + packed_size(&process.state.peer_rows(process.now.steady));
 
     // Each pair exchanges once a period; either side sends its own row or all rows.
     let sent = |exchange: u64| {
-        let full = (0..others).filter(|&other| peers::tells_all(exchange, others / 2, other));
+        let full = (0..others).filter(|&other| peers::sends_all_rows(exchange, others / 2, other));
         let full = full.count();
         full * full_size + (others - full) * own_size
     };
     let sent: usize = (0..EXCHANGES_PER_CYCLE).map(sent).sum();
 
-    let time: Duration = peers::period(others) * EXCHANGES_PER_CYCLE as u32;
+    let time: Duration = peers::exchange_period(others) * EXCHANGES_PER_CYCLE as u32;
     let rate = sent as f64 / time.as_secs_f64();
     assert!(rate < NARROW_LINK, "{rate:.0} bytes a second of {NARROW_LINK}");
 }
--- a/components/scheduler/tests/direct_plain.rs
+++ b/components/scheduler/tests/direct_plain.rs
@@ -14,7 +14,9 @@
     time::Duration,
 };
 
-use direct_support::{Process, address, blank, plan, refusals, request, route, starts, target};
+use direct_support::{
+    Process, address, configuration, dispatches, empty_process, refusals, request, route, target,
+};
 use model::reservation::{Ask, Id};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
@@ -108,19 +110,20 @@
 
 /// Returns targets of another pool, each with its own agent.
 fn targets_with_agents() -> Vec<Target> {
-    let model = |n| Target { pool: "models".into(), agent: Some(address(2_000 + n)), ..target(n) };
+    let model =
+        |n| Target { pool: "models".into(), agent_address: Some(address(2_000 + n)), ..target(n) };
     (10..15).map(model).collect()
 }
 
 /// Returns an entry process with a configuration, the plain targets and `other_targets`.
 fn entry(number: usize, other_targets: &[Target]) -> Process {
-    let mut entry = blank(number as u16 + 1);
+    let mut entry = empty_process(number as u16 + 1);
     let mut call = route("/call/", Repeat::Never);
-    call.aim = Duration::from_millis(ON_TIME_MS);
+    call.target_latency = Duration::from_millis(ON_TIME_MS);
     call.timeout = Duration::from_millis(800);
-    entry.send(Event::Planned(plan(1, vec![call], None).into()));
-    entry.confirm();
-    entry.list([&plain_targets()[..], other_targets].concat());
+    entry.send(Event::ConfigurationRead(configuration(1, vec![call], None).into()));
+    entry.confirm_configuration();
+    entry.list_targets([&plain_targets()[..], other_targets].concat());
     entry
 }
 
@@ -157,16 +160,18 @@
         for effect in &effects {
             match effect {
                 Effect::Reserve(reservation) => self.reserve(index, reservation),
-                Effect::Withdraw { ticket, number } => self.withdraw(index, *ticket, *number),
+                Effect::WithdrawReservation { ticket, number } => {
+                    self.withdraw(index, *ticket, *number)
+                }
                 _ => {}
             }
         }
         for (ticket, _) in refusals(&effects) {
             self.arrival_ms.remove(&ticket);
         }
-        for start in starts(&effects) {
-            let target = usize::from(start.address.port() - 1_000);
-            let arrived = Scheduled::Arrived(target, (index, start.ticket));
+        for dispatch in dispatches(&effects) {
+            let target = usize::from(dispatch.address.port() - 1_000);
+            let arrived = Scheduled::Arrived(target, (index, dispatch.ticket));
             self.schedule(ONE_WAY_DELAY_MS, arrived);
         }
     }
@@ -178,7 +183,7 @@
         let ask = Ask {
             id: reservation_id(index, ticket, number),
             rank,
-            remaining: reservation.wait,
+            remaining: reservation.timeout,
             prefill: 0,
             decode: 0,
             prefix: Vec::new(),
@@ -248,15 +253,15 @@
                 let is_counted =
                     MEASURED_MS.contains(&arrival_ms) && self.now_ms - arrival_ms <= ON_TIME_MS;
                 self.counts.answered_on_time += u32::from(is_counted);
-                self.send(index, Event::Began { ticket });
-                self.end(index, ticket, Outcome::Done);
+                self.send(index, Event::AnswerBegan { ticket });
+                self.end(index, ticket, Outcome::Completed);
             }
         }
     }
 
     fn end(&mut self, index: usize, ticket: Ticket, outcome: Outcome) {
-        let begun = outcome == Outcome::Done;
-        self.send(index, Event::Ended { ticket, outcome, begun, events: 0 });
+        let begun = outcome == Outcome::Completed;
+        self.send(index, Event::DispatchEnded { ticket, outcome, begun, events: 0 });
     }
 
     /// Starts a call in a slot of a target.
@@ -294,11 +299,11 @@
 
     /// Sends the row of an entry process to all others.
     fn broadcast_row(&mut self, from: usize) {
-        self.entries[from].confirm();
+        self.entries[from].confirm_configuration();
         let now = self.entries[from].now.steady;
-        let row = self.entries[from].state.row(now);
+        let row = self.entries[from].state.next_row(now);
         for to in (0..ENTRY_COUNT).filter(|&to| to != from) {
-            self.send(to, Event::Heard(vec![row.clone()]));
+            self.send(to, Event::RowsReceived(vec![row.clone()]));
         }
     }
 
@@ -309,10 +314,10 @@
         self.arrival_ms.insert(self.last_ticket, self.now_ms);
         let mut call = request(self.last_ticket, "/call/");
         call.tokens = None;
-        call.patience = Some(Duration::from_millis(1_500));
-        call.draw = self.random.random();
+        call.timeout = Some(Duration::from_millis(1_500));
+        call.spread = self.random.random();
         let index = self.random.random_range(0..ENTRY_COUNT);
-        self.send(index, Event::Arrived(call));
+        self.send(index, Event::RequestReceived(call));
     }
 }
 
--- a/components/scheduler/tests/direct_rollouts.rs
+++ b/components/scheduler/tests/direct_rollouts.rs
@@ -11,10 +11,12 @@
     time::Duration,
 };
 
-use direct_support::{Process, address, blank, plan, request, route, starts, target};
+use direct_support::{
+    Process, address, configuration, dispatches, empty_process, request, route, target,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::direct::{
-    Effect, Event, Note, Outcome, Target, Ticket,
+    Effect, Event, LogEntry, Outcome, Target, Ticket,
     peers::Row,
     plan::Repeat,
     relay::Position,
@@ -88,7 +90,7 @@
 
 fn order() -> Order {
     let position = Position { era: 1, offset: 9 };
-    Order { pool: "pool".into(), target: "v2".into(), duration: ROLLOUT_DURATION, position }
+    Order { pool: "pool".into(), version: "v2".into(), duration: ROLLOUT_DURATION, position }
 }
 
 fn targets(version: &str, first_number: u16) -> Vec<Target> {
@@ -105,14 +107,14 @@
 /// Returns a process that has read the configuration and the targets of the old version; its clock is
 /// that of `clock`, or the current time for `None`.
 fn started_process(number: usize, clock: Option<&Process>) -> Process {
-    let mut process = blank(number as u16 + 1);
+    let mut process = empty_process(number as u16 + 1);
     if let Some(clock) = clock {
         process.now = clock.now;
     }
-    let routes = vec![route("/a/", Repeat::Safe), route("/b/", Repeat::Never)];
-    process.send(Event::Planned(plan(1, routes, None).into()));
-    process.confirm();
-    process.list(targets("v1", 0));
+    let routes = vec![route("/a/", Repeat::Idempotent), route("/b/", Repeat::Never)];
+    process.send(Event::ConfigurationRead(configuration(1, routes, None).into()));
+    process.confirm_configuration();
+    process.list_targets(targets("v1", 0));
     process
 }
 
@@ -148,17 +150,17 @@
     /// Records the rollout actions among the effects of a process, and runs its dispatches.
     fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in &effects {
-            if let Effect::Note(Note::Rollout(step)) = effect {
+            if let Effect::Log(LogEntry::Rollout(step)) = effect {
                 self.actions.push(step.action);
             }
         }
-        for start in starts(&effects) {
-            let is_ordered = start.address.port() >= 1_000 + TARGETS_PER_VERSION;
-            let is_first_route = start.repeatable;
+        for dispatch in dispatches(&effects) {
+            let is_ordered = dispatch.address.port() >= 1_000 + TARGETS_PER_VERSION;
+            let is_first_route = dispatch.is_repeatable;
             let is_bad = self.step >= self.behaviour.from_step
                 && !(self.behaviour.is_one_route_only && is_first_route);
             let mut held_steps: f64 = self.random.random_range(15.0..35.0);
-            let mut outcome = Outcome::Done;
+            let mut outcome = Outcome::Completed;
             self.dispatched += 1;
             if is_ordered {
                 self.to_ordered += 1;
@@ -173,7 +175,7 @@
                     }
                 }
             }
-            self.in_flight.insert((self.step + held_steps as u32, index, start.ticket), outcome);
+            self.in_flight.insert((self.step + held_steps as u32, index, dispatch.ticket), outcome);
         }
     }
 
@@ -187,15 +189,15 @@
     fn tick(&mut self) {
         self.step += 1;
         for index in 0..self.processes.len() {
-            let effects = self.processes[index].pass(STEP_TIME);
+            let effects = self.processes[index].advance(STEP_TIME);
             self.apply(index, effects);
         }
         let first_later = (self.step + 1, 0, 0);
         let later = self.in_flight.split_off(&first_later);
         for ((_, index, ticket), outcome) in std::mem::replace(&mut self.in_flight, later) {
-            self.send(index, Event::Began { ticket });
+            self.send(index, Event::AnswerBegan { ticket });
             let events = 0;
-            self.send(index, Event::Ended { ticket, outcome, begun: false, events });
+            self.send(index, Event::DispatchEnded { ticket, outcome, begun: false, events });
         }
         let arriving = REQUESTS_PER_STEP as usize
             + usize::from(self.random.random_bool(REQUESTS_PER_STEP.fract()));
@@ -203,9 +205,9 @@
             self.last_ticket += 1;
             let path = if self.random.random_bool(0.7) { "/a/" } else { "/b/" };
             let mut arrived = request(self.last_ticket, path);
-            arrived.draw = self.random.random();
+            arrived.spread = self.random.random();
             let index = self.random.random_range(0..self.processes.len());
-            self.send(index, Event::Arrived(arrived));
+            self.send(index, Event::RequestReceived(arrived));
         }
         if self.step.is_multiple_of(10) {
             self.exchange_rows();
@@ -217,7 +219,7 @@
     fn exchange_rows(&mut self) {
         for from in 0..self.processes.len() {
             let now = self.processes[from].now.steady;
-            let row = self.processes[from].state.row(now);
+            let row = self.processes[from].state.next_row(now);
             for to in 0..self.processes.len() {
                 if from != to && !self.isolated.contains(&from) && !self.isolated.contains(&to) {
                     self.deliver(to, &row);
@@ -234,11 +236,11 @@
         if self.random.random_bool(self.loss_rate) {
             self.delayed_rows.push((to, row.clone()));
         }
-        self.send(to, Event::Heard(vec![row.clone()]));
+        self.send(to, Event::RowsReceived(vec![row.clone()]));
         if self.random.random_bool(self.loss_rate) && !self.delayed_rows.is_empty() {
             let position = self.random.random_range(0..self.delayed_rows.len());
             let (to, row) = self.delayed_rows.swap_remove(position);
-            self.send(to, Event::Heard(vec![row]));
+            self.send(to, Event::RowsReceived(vec![row]));
         }
     }
 
@@ -248,8 +250,8 @@
         let clock = Process { now: self.processes[other].now, ..started_process(index, None) };
         self.processes[index] = started_process(index, Some(&clock));
         self.in_flight.retain(|(_, process, _), _| *process != index);
-        self.processes[index].list(all_targets());
-        self.processes[index].send(Event::Ordered(order()));
+        self.processes[index].list_targets(all_targets());
+        self.processes[index].send(Event::RolloutOrdered(order()));
     }
 
     /// Confirms the configuration to each process that isn't isolated, stores its reports at the platform
@@ -260,7 +262,7 @@
                 continue;
             }
             let (boot, era) = (self.processes[index].now.boot, self.processes[index].era);
-            self.send(index, Event::Confirmed { boot, version: 1, era });
+            self.send(index, Event::ConfigurationConfirmed { boot, version: 1, era });
             for report in self.processes[index].state.reports() {
                 let stored = self.stored_report.as_ref();
                 let is_open = stored.is_none_or(|stored| stored.progress == Progress::Running);
@@ -275,14 +277,14 @@
                     self.stored_report = Some(report);
                 }
                 let stored = self.stored_report.clone().into_iter().collect();
-                self.send(index, Event::Reported(stored));
+                self.send(index, Event::RolloutsReported(stored));
             }
         }
     }
 
     fn is_at_old_target(&self, index: usize, ticket: Ticket) -> bool {
         let process = &self.processes[index];
-        let target = process.state.target(ticket);
+        let target = process.state.target_of(ticket);
         target.is_some_and(|target| target.version == "v1")
     }
 
@@ -290,9 +292,9 @@
     /// count of steps and dispatches. All dispatches in flight end in the next step.
     fn start_rollout(&mut self) {
         for index in 0..self.processes.len() {
-            let effects = self.processes[index].list(all_targets());
+            let effects = self.processes[index].list_targets(all_targets());
             self.apply(index, effects);
-            self.send(index, Event::Ordered(order()));
+            self.send(index, Event::RolloutOrdered(order()));
         }
         self.step = 0;
         self.in_flight = std::mem::take(&mut self.in_flight)
@@ -396,11 +398,11 @@
     world.isolated.insert(0);
     // The rows of its peers stay fresh for a while.
     world.run(100);
-    let before = world.processes[0].state.exposed("pool");
+    let before = world.processes[0].state.dispatches_to_ordered_version("pool");
 
     world.run(400);
 
-    assert_eq!(world.processes[0].state.exposed("pool"), before);
+    assert_eq!(world.processes[0].state.dispatches_to_ordered_version("pool"), before);
 }
 
 /// The counts in the rows of a process begin at zero after its restart, so the totals shrink: answers must
@@ -454,16 +456,16 @@
 #[test]
 fn a_version_gets_no_requests_before_its_order_and_a_read_report() {
     let mut process = started_process(0, None);
-    process.list(all_targets());
+    process.list_targets(all_targets());
     for ticket in 0..200 {
         process.arrive(request(ticket, "/a/"));
     }
-    process.send(Event::Ordered(order()));
+    process.send(Event::RolloutOrdered(order()));
     for ticket in 200..400 {
         process.arrive(request(ticket, "/a/"));
     }
 
-    assert_eq!(process.state.exposed("pool"), 0);
+    assert_eq!(process.state.dispatches_to_ordered_version("pool"), 0);
     assert_eq!(process.state.reports().len(), 1);
 }
 
@@ -472,31 +474,31 @@
 fn an_order_is_learnt_from_the_row_of_a_peer() {
     let mut first = started_process(0, None);
     let mut second = started_process(1, None);
-    first.send(Event::Ordered(order()));
+    first.send(Event::RolloutOrdered(order()));
 
-    let row = first.state.row(first.now.steady);
-    second.send(Event::Heard(vec![row]));
+    let row = first.state.next_row(first.now.steady);
+    second.send(Event::RowsReceived(vec![row]));
 
-    assert_eq!(second.state.reports()[0].target, "v2");
+    assert_eq!(second.state.reports()[0].version, "v2");
 }
 
 /// The first final report that the platform service stores decides for all processes.
 #[test]
 fn a_stored_completion_ends_the_rollout_of_a_process() {
     let mut process = started_process(0, None);
-    process.list(all_targets());
-    process.send(Event::Ordered(order()));
+    process.list_targets(all_targets());
+    process.send(Event::RolloutOrdered(order()));
     let stored = Report {
         pool: "pool".into(),
-        target: "v2".into(),
+        version: "v2".into(),
         progress: Progress::Completed,
-        renews: false,
+        replaces_report: false,
     };
 
-    process.send(Event::Reported(vec![stored]));
+    process.send(Event::RolloutsReported(vec![stored]));
 
-    let started = starts(&process.arrive(request(1, "/a/")));
-    assert!(started[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
+    let dispatches = dispatches(&process.arrive(request(1, "/a/")));
+    assert!(dispatches[0].address.port() >= address(1_000 + TARGETS_PER_VERSION).port());
     assert!(process.state.reports().is_empty());
 }
 
@@ -508,20 +510,20 @@
     let mut second = started_process(1, None);
     let stored = Report {
         pool: "pool".into(),
-        target: "v2".into(),
+        version: "v2".into(),
         progress: Progress::RolledBack,
-        renews: false,
+        replaces_report: false,
     };
     for process in [&mut first, &mut second] {
-        process.send(Event::Ordered(order()));
-        process.send(Event::Reported(vec![stored.clone()]));
+        process.send(Event::RolloutOrdered(order()));
+        process.send(Event::RolloutsReported(vec![stored.clone()]));
         assert!(process.state.reports().is_empty());
     }
 
     first.era += 1;
-    first.confirm();
-    let row = second.state.row(second.now.steady);
-    first.send(Event::Heard(vec![row]));
+    first.confirm_configuration();
+    let row = second.state.next_row(second.now.steady);
+    first.send(Event::RowsReceived(vec![row]));
 
     assert_eq!(first.state.reports(), [stored]);
 }
@@ -530,14 +532,14 @@
 #[test]
 fn a_withdrawn_order_is_not_reported() {
     let mut process = started_process(0, None);
-    process.send(Event::Ordered(order()));
+    process.send(Event::RolloutOrdered(order()));
 
     let position = Position { era: 1, offset: 10 };
-    process.send(Event::Withdrawn { pool: "pool".into(), position });
+    process.send(Event::RolloutWithdrawn { pool: "pool".into(), position });
 
     assert!(process.state.reports().is_empty());
     process.era += 1;
-    process.confirm();
+    process.confirm_configuration();
     assert!(process.state.reports().is_empty());
 }
 
@@ -547,7 +549,7 @@
     let mut world = world(GOOD, 1);
     world.run(100);
     for index in 0..PROCESSES {
-        world.send(index, Event::Ordered(order()));
+        world.send(index, Event::RolloutOrdered(order()));
     }
     world.step = 0;
 
@@ -561,8 +563,8 @@
 fn a_version_is_used_without_an_order_if_no_target_runs_another() {
     let mut process = started_process(0, None);
 
-    process.list(targets("v2", TARGETS_PER_VERSION));
-    process.pass(Duration::from_secs(3));
+    process.list_targets(targets("v2", TARGETS_PER_VERSION));
+    process.advance(Duration::from_secs(3));
 
-    assert_eq!(starts(&process.arrive(request(1, "/a/"))).len(), 1);
+    assert_eq!(dispatches(&process.arrive(request(1, "/a/"))).len(), 1);
 }
