--- a/components/gateway/src/agents.rs
+++ b/components/gateway/src/agents.rs
@@ -1,4 +1,4 @@
-//! Reservations at the agents of targets.
+//! Reservations of slots at the agents of targets.
 
 use std::{
     collections::HashMap,
@@ -21,38 +21,41 @@
     pool::{self, Pool, context},
 };
 
-/// Longest wait for an agent to take a connection.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Time beyond a reservation's wait after which an agent that said nothing counts as away.
-const GRACE: Duration = Duration::from_secs(1);
-/// Longest time for which room is held; longer than any request runs.
-const HOLD: Duration = Duration::from_secs(3_600);
+/// Timeout of establishing a connection to an agent.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after a reservation's timeout for which this process still waits for the agent's answer.
+const ANSWER_GRACE: Duration = Duration::from_secs(1);
+/// Maximum time for which a granted slot is held; longer than any request runs.
+const MAX_HOLD: Duration = Duration::from_secs(3_600);
 
-/// Takes in what becomes of a reservation.
-pub type Report = Arc<dyn Fn(Event) + Send + Sync>;
+/// Callback that receives the event that a reservation was granted or denied.
+pub type OnReservationEnded = Arc<dyn Fn(Event) + Send + Sync>;
 
-/// Reservations that wait or hold room, each with a task.
-pub struct Agents {
+/// Reservations that wait for a slot or hold one, and connections to the agents. Each reservation has a task
+/// with one call to its agent in flight; aborting the task cancels the call, and so the agent ends the
+/// reservation.
+pub struct Reservations {
     pool: Arc<Pool<AdmissionClient>>,
-    /// Differs with each start of this process, so that its requests differ from those of others.
+    /// Number that differs with each start of a process: with the ticket it makes an ID for a request that no
+    /// other process uses.
     incarnation: u64,
     tasks: HashMap<(Ticket, u32), AbortHandle>,
-    report: Report,
+    on_ended: OnReservationEnded,
     metrics: Arc<Gateway>,
 }
 
-/// Gives a set without reservations.
-pub fn open(incarnation: u64, report: Report, metrics: Arc<Gateway>) -> Agents {
-    let pool = Arc::new(pool::open(CONNECT, admission::connect));
-    Agents { pool, incarnation, tasks: HashMap::new(), report, metrics }
+/// Builds the set of reservations, empty and without connections.
+pub fn open(incarnation: u64, on_ended: OnReservationEnded, metrics: Arc<Gateway>) -> Reservations {
+    let pool = Arc::new(pool::open(CONNECT_TIMEOUT, admission::connect));
+    Reservations { pool, incarnation, tasks: HashMap::new(), on_ended, metrics }
 }
 
-impl Agents {
-    /// Reserves room; it is given up when the reservation is withdrawn.
+impl Reservations {
+    /// Starts a reservation. A slot that is granted is held until the reservation is withdrawn.
     pub fn reserve(&mut self, reservation: Reservation) {
         let key = (reservation.ticket, reservation.number);
         let request = Uuid::from_u64_pair(self.incarnation, reservation.ticket);
-        let (pool, report) = (Arc::clone(&self.pool), Arc::clone(&self.report));
+        let (pool, on_ended) = (Arc::clone(&self.pool), Arc::clone(&self.on_ended));
         let metrics = Arc::clone(&self.metrics);
         let task = tokio::spawn(async move {
             let (ticket, number) = key;
@@ -60,32 +63,34 @@
             match reserve(&pool, &reservation, request).await {
                 Ok((client, load)) => {
                     metrics.reserved("granted");
-                    report(Event::Granted { ticket, number, load });
-                    // An agent that is gone keeps no room; the request runs all the same.
-                    let _ = client.hold(context(HOLD), id, reservation.address).await;
+                    on_ended(Event::Granted { ticket, number, load });
+                    // Where the agent is unreachable, it holds no slot any more; the request runs anyway.
+                    let _ = client.hold(context(MAX_HOLD), id, reservation.address).await;
                 }
                 Err(reason) => {
-                    metrics.reserved(name(reason));
-                    report(Event::Denied { ticket, number, reason });
+                    metrics.reserved(denial_name(reason));
+                    on_ended(Event::Denied { ticket, number, reason });
                 }
             }
         });
         self.tasks.insert(key, task.abort_handle());
     }
 
-    /// Gives a reservation up, or the room that it got.
+    /// Cancels a reservation, or releases the slot that it was granted.
     pub fn withdraw(&mut self, ticket: Ticket, number: u32) {
         if let Some(task) = self.tasks.remove(&(ticket, number)) {
             task.abort();
         }
     }
 
-    /// Forgets a reservation that got no room.
-    pub fn denied(&mut self, ticket: Ticket, number: u32) {
+    /// Removes a reservation that was denied and whose task therefore ended.
+    pub fn remove_denied(&mut self, ticket: Ticket, number: u32) {
         self.tasks.remove(&(ticket, number));
     }
 }
 
+/// Waits for a slot at the target of a reservation; returns the agent's client, by which to hold the slot,
+/// and the load that the agent reported.
 async fn reserve(
     pool: &Pool<AdmissionClient>,
     reservation: &Reservation,
@@ -96,9 +101,9 @@
     let ask = Ask {
         id: Id { request, attempt: reservation.number },
         rank: reservation.rank,
-        // The process that reserves decides when its request has waited for too long; agents only order a
-        // tier by this, the latest deadline first.
-        remaining: reservation.timeout + reservation.recency_boost + GRACE,
+        // This process decides when its request has waited for too long. Agents use this time only to order
+        // the requests of a tier, the latest deadline first.
+        remaining: reservation.timeout + reservation.recency_boost + ANSWER_GRACE,
         prefill: reservation.tokens.prompt,
         decode: reservation.tokens.max_output,
         prefix: Vec::new(),
@@ -107,21 +112,21 @@
     };
     let Reservation { address, slots, is_local_agent, limit, .. } = *reservation;
     let target = admission::Target { address, slots, beside: is_local_agent };
-    let asked = Instant::now();
-    match client.reserve(context(reservation.timeout + GRACE), ask, target, limit).await {
+    let call_start = Instant::now();
+    match client.reserve(context(reservation.timeout + ANSWER_GRACE), ask, target, limit).await {
         Ok(Ok(grant)) => Ok((client, grant.load)),
         Ok(Err(denial)) if denial.reason == Reason::NoTarget => {
             Err(DenialReason::TargetUnreachable)
         }
         Ok(Err(denial)) if denial.reason == Reason::Draining => Err(DenialReason::AgentUnreachable),
         Ok(Err(_)) => Err(DenialReason::TimedOut),
-        Err(_) if asked.elapsed() >= reservation.timeout => Err(DenialReason::TimedOut),
+        Err(_) if call_start.elapsed() >= reservation.timeout => Err(DenialReason::TimedOut),
         Err(_) => Err(DenialReason::AgentUnreachable),
     }
 }
 
-/// Name of a denial's reason in logs and metrics.
-pub fn name(reason: DenialReason) -> &'static str {
+/// Returns the name of a denial's reason in the metrics.
+fn denial_name(reason: DenialReason) -> &'static str {
     match reason {
         DenialReason::AgentUnreachable => "agent_away",
         DenialReason::TargetUnreachable => "target_unreached",
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -1,4 +1,5 @@
-//! The life of one caller's request.
+//! Serves one request of a caller: reads it, carries out the dispatches that the control thread orders and
+//! passes the answer on.
 
 use std::{future::Future, pin::pin, sync::Arc, time::Duration};
 
@@ -17,111 +18,123 @@
 
 use crate::{
     Body, Broken, Call, Dialect,
-    control::{self, Order},
-    dispatch::{self, Events, Opened, Targets, Unread},
-    events::Piece,
-    ingress::Open,
+    control::{self, Command},
+    dispatch::{self, EventStream, TargetAnswer, TargetClient, UnreadAnswer},
+    events::StreamEvent,
+    ingress::OpenRequest,
 };
 
-/// Longest time for which a body is read.
-const BODY_WAIT: Duration = Duration::from_secs(10);
-/// Largest body before the configuration says it, in bytes.
-const BODY_MAX: usize = 4 << 20;
+/// Timeout of receiving the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size in bytes of a request's body before a configuration is known, which sets the maximum.
+const DEFAULT_MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What all requests share.
+/// State that the tasks of all requests share.
 pub struct Context {
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: control::Handle,
-    /// How requests and answers are spelled.
+    /// Conversion between HTTP messages and the types of this crate.
     pub dialect: Dialect,
-    /// Connections to targets.
-    pub targets: Targets,
+    /// HTTP client for targets.
+    pub client: TargetClient,
 }
 
-/// A request that the control thread knows; dropping it before its end tells that the caller left.
+/// A request that was passed to the control thread. Where it is dropped before the request ended, the caller
+/// disconnected, and the control thread is informed.
 struct Session {
     context: Arc<Context>,
     call: Arc<Call>,
     ticket: Ticket,
-    orders: mpsc::UnboundedReceiver<Order>,
-    /// The failure that a target answered with last.
+    commands: mpsc::UnboundedReceiver<Command>,
+    /// The last error answer of a target.
     failure: Option<Response<Bytes>>,
-    /// The last event that went to the caller.
-    last: Option<String>,
-    /// Whether any event went to the caller.
+    /// ID of the last event that was passed to the caller, or that the caller had received before; `None`
+    /// where there is none.
+    last_event: Option<String>,
+    /// Whether any event was passed to the caller.
     begun: bool,
-    /// Events of the dispatch that hasn't ended.
+    /// Number of events that were passed to the caller in the dispatch in flight.
     events: u32,
-    /// Hash over what goes to the caller.
+    /// Hash of the bytes of the answer's body that were passed to the caller.
     digest: blake3::Hasher,
-    ended: bool,
-    _open: Open,
+    /// Whether the control thread knows that the request ended.
+    has_ended: bool,
+    /// Counts the request as open until this value is dropped.
+    _open: OpenRequest,
 }
 
-enum Head {
-    Whole(Response<Bytes>),
-    Stream(Box<response::Parts>, Piece, Box<Events>),
+/// Answer to the caller: complete, or the beginning of a stream.
+enum CallerAnswer {
+    /// A complete answer.
+    Complete(Response<Bytes>),
+    /// Head, first event and further events of a stream.
+    Stream(Box<response::Parts>, StreamEvent, Box<EventStream>),
 }
 
-/// Answers a request.
+/// Serves a request and returns the answer. The body of a stream is received from targets while it is sent
+/// to the caller.
 pub async fn serve(
     context: Arc<Context>,
     request: Request<Incoming>,
-    open: Open,
+    open: OpenRequest,
 ) -> Response<Body> {
     let dialect = context.dialect;
     let (call, fingerprint) = match read(&context, request).await {
         Ok(call) => call,
         Err(response) => return response,
     };
-    let ticket = context.control.ticket();
-    let orders = context.control.arrive(ask(&call, ticket, fingerprint));
+    let ticket = context.control.next_ticket();
+    let commands = context.control.begin_request(direct_request(&call, ticket, fingerprint));
     let mut session = Session {
         context,
-        last: call.ask.last_event.clone(),
+        last_event: call.ask.last_event.clone(),
         call: Arc::new(call),
         ticket,
-        orders,
+        commands,
         failure: None,
         begun: false,
         events: 0,
         digest: blake3::Hasher::new(),
-        ended: false,
+        has_ended: false,
         _open: open,
     };
-    match session.head().await {
-        Ok(Head::Whole(response)) => response.map(full),
-        Ok(Head::Stream(parts, first, events)) => {
+    match session.start_answer().await {
+        Ok(CallerAnswer::Complete(response)) => response.map(full_body),
+        Ok(CallerAnswer::Stream(parts, first, events)) => {
             let body = relay(session, first, *events);
             Response::from_parts(*parts, BodyExt::boxed_unsync(StreamBody::new(body)))
         }
-        Err(refusal) => (dialect.refuse)(&refusal, Some(&session.call.ask.id)).map(full),
+        Err(refusal) => (dialect.refuse)(&refusal, Some(&session.call.ask.id)).map(full_body),
     }
 }
 
+/// Reads a request to its end, and computes the fingerprint of path, key and body; returns an error answer
+/// where the request is invalid, too large or too slow.
 async fn read(
     context: &Context,
     request: Request<Incoming>,
 ) -> Result<(Call, Fingerprint), Response<Body>> {
     let (head, body) = request.into_parts();
     let ask = (context.dialect.read)(&head)
-        .map_err(|message| plain(StatusCode::BAD_REQUEST, &message))?;
-    let most = context.control.plan().map_or(BODY_MAX, |plan| plan.max_body_bytes);
-    let body = match timeout(BODY_WAIT, Limited::new(body, most).collect()).await {
+        .map_err(|message| text_response(StatusCode::BAD_REQUEST, &message))?;
+    let max_bytes =
+        context.control.plan().map_or(DEFAULT_MAX_BODY_BYTES, |plan| plan.max_body_bytes);
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            let message = format!("the body is larger than {most} bytes");
-            return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, &message));
+            let message = format!("the body is larger than {max_bytes} bytes");
+            return Err(text_response(StatusCode::PAYLOAD_TOO_LARGE, &message));
         }
-        Ok(Err(_)) => return Err(plain(StatusCode::BAD_REQUEST, "the body broke off")),
-        Err(_) => return Err(plain(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
+        Ok(Err(_)) => return Err(text_response(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => return Err(text_response(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
     };
     let key = ask.key.as_deref().unwrap_or_default();
     let fingerprint = id::fingerprint(&[head.uri.path().as_bytes(), key.as_bytes(), &body]);
     Ok((Call { head, body, ask }, fingerprint))
 }
 
-fn ask(call: &Call, ticket: Ticket, fingerprint: Fingerprint) -> direct::Request {
+/// Builds the request for the reducer.
+fn direct_request(call: &Call, ticket: Ticket, fingerprint: Fingerprint) -> direct::Request {
     let hash = blake3::hash(call.ask.id.as_bytes());
     let mut bytes = [0; 8];
     bytes.copy_from_slice(&hash.as_bytes()[..8]);
@@ -140,72 +153,78 @@
 }
 
 impl Session {
-    /// Waits and dispatches until there is something to tell the caller.
-    async fn head(&mut self) -> Result<Head, Refusal> {
+    /// Carries out dispatches until an answer is complete or the first event of a stream is received;
+    /// returns a refusal where there is no answer of a target.
+    async fn start_answer(&mut self) -> Result<CallerAnswer, Refusal> {
         loop {
-            let dispatch = match self.order().await {
+            let dispatch = match self.next_dispatch().await {
                 Ok(dispatch) => dispatch,
                 Err(Some(refusal)) => return Err(refusal),
-                Err(None) => return self.failure.take().map(Head::Whole).ok_or(LOST),
+                Err(None) => return self.failure.take().map(CallerAnswer::Complete).ok_or(LOST),
             };
             match self.send(&dispatch).await {
-                Ok(Opened::Whole(unread)) => match self.read(&dispatch, unread).await {
+                Ok(TargetAnswer::Plain(unread)) => match self.read(&dispatch, unread).await {
                     Ok(response) => {
-                        self.began();
+                        self.report_answer_began();
                         self.digest.update(response.body());
-                        self.report(Outcome::Completed);
-                        return Ok(Head::Whole(response));
+                        self.report_end(Outcome::Completed);
+                        return Ok(CallerAnswer::Complete(response));
                     }
-                    Err(outcome) => self.report(outcome),
+                    Err(outcome) => self.report_end(outcome),
                 },
-                Ok(Opened::Failure(unread)) => match self.read(&dispatch, unread).await {
+                Ok(TargetAnswer::Failure(unread)) => match self.read(&dispatch, unread).await {
                     Ok(response) => {
                         self.failure = Some(response);
-                        self.report(Outcome::Failed);
+                        self.report_end(Outcome::Failed);
                     }
-                    Err(outcome) => self.report(outcome),
+                    Err(outcome) => self.report_end(outcome),
                 },
-                Ok(Opened::Stream(parts, mut events)) => match self.next(&mut events).await {
-                    Ok(Some(piece)) => {
-                        self.began();
-                        return Ok(Head::Stream(parts, piece, events));
+                Ok(TargetAnswer::Stream(parts, mut events)) => match self.next(&mut events).await {
+                    Ok(Some(first)) => {
+                        self.report_answer_began();
+                        return Ok(CallerAnswer::Stream(parts, first, events));
                     }
                     Ok(None) => {
-                        self.report(Outcome::Completed);
-                        return Ok(Head::Whole(Response::from_parts(*parts, Bytes::new())));
+                        self.report_end(Outcome::Completed);
+                        return Ok(CallerAnswer::Complete(Response::from_parts(
+                            *parts,
+                            Bytes::new(),
+                        )));
                     }
-                    Err(outcome) => self.report(outcome),
+                    Err(outcome) => self.report_end(outcome),
                 },
-                Err(outcome) => self.report(outcome),
+                Err(outcome) => self.report_end(outcome),
             }
         }
     }
 
-    /// Waits for a new dispatch of a stream that broke off.
-    async fn resume(&mut self) -> Result<Box<Events>, Broken> {
+    /// Dispatches a request again whose stream ended incomplete; returns the events after those that the caller has,
+    /// or an error where the stream can't be resumed.
+    async fn resume(&mut self) -> Result<Box<EventStream>, Broken> {
         loop {
-            let dispatch = self.order().await.map_err(|_| Broken)?;
+            let dispatch = self.next_dispatch().await.map_err(|_| Broken)?;
             match self.send(&dispatch).await {
-                Ok(Opened::Stream(_, events)) => return Ok(events),
-                Ok(_) => self.report(Outcome::Incomplete { crashed: false }),
-                Err(outcome) => self.report(outcome),
+                Ok(TargetAnswer::Stream(_, events)) => return Ok(events),
+                Ok(_) => self.report_end(Outcome::Incomplete { crashed: false }),
+                Err(outcome) => self.report_end(outcome),
             }
         }
     }
 
-    /// The next dispatch; else the refusal, or nothing where the last failure is to be passed on.
-    async fn order(&mut self) -> Result<Dispatch, Option<Refusal>> {
+    /// Waits for the next dispatch. Returns the refusal as an error where the request is refused, or
+    /// `Err(None)` where the last error answer of a target has to be passed on.
+    async fn next_dispatch(&mut self) -> Result<Dispatch, Option<Refusal>> {
         loop {
-            match self.orders.recv().await {
-                Some(Order::Start(dispatch)) => return Ok(dispatch),
-                // The target that it was to leave ended first.
-                Some(Order::Leave) => {}
-                Some(Order::Refuse(refusal)) => {
-                    self.ended = true;
+            match self.commands.recv().await {
+                Some(Command::Dispatch(dispatch)) => return Ok(dispatch),
+                // The dispatch ended before the command to cancel it was received.
+                Some(Command::CancelDispatch) => {}
+                Some(Command::Refuse(refusal)) => {
+                    self.has_ended = true;
                     return Err(Some(refusal));
                 }
-                Some(Order::Pass) => {
-                    self.ended = true;
+                Some(Command::PassFailure) => {
+                    self.has_ended = true;
                     return Err(None);
                 }
                 None => return Err(Some(LOST)),
@@ -213,65 +232,73 @@
         }
     }
 
-    async fn send(&mut self, dispatch: &Dispatch) -> Result<Opened, Outcome> {
-        let (context, call, last) =
-            (Arc::clone(&self.context), Arc::clone(&self.call), self.last.clone());
-        let Context { control, targets, dialect } = &*context;
+    /// Sends the request to the target of a dispatch and waits for the head of the answer.
+    async fn send(&mut self, dispatch: &Dispatch) -> Result<TargetAnswer, Outcome> {
+        let (context, call, last_event) =
+            (Arc::clone(&self.context), Arc::clone(&self.call), self.last_event.clone());
+        let Context { control, client, dialect } = &*context;
         let ticket = self.ticket;
-        let limited = |per_second| control.send(Event::RateLimitStated { ticket, per_second });
-        let sent = dispatch::send(targets, dialect, &call, dispatch, last.as_deref(), limited);
-        self.listen(dispatch.unresponsive_timeout, sent).await
+        let on_rate_limit =
+            |per_second| control.send(Event::RateLimitStated { ticket, per_second });
+        let sent =
+            dispatch::send(client, dialect, &call, dispatch, last_event.as_deref(), on_rate_limit);
+        self.wait_for_target(dispatch.unresponsive_timeout, sent).await
     }
 
     async fn read(
         &mut self,
         dispatch: &Dispatch,
-        unread: Unread,
+        unread: UnreadAnswer,
     ) -> Result<Response<Bytes>, Outcome> {
-        self.listen(dispatch.unresponsive_timeout, unread.read()).await
+        self.wait_for_target(dispatch.unresponsive_timeout, unread.read()).await
     }
 
-    async fn next(&mut self, events: &mut Events) -> Result<Option<Piece>, Outcome> {
-        self.listen(events.silence, events.next()).await
+    async fn next(&mut self, events: &mut EventStream) -> Result<Option<StreamEvent>, Outcome> {
+        self.wait_for_target(events.unresponsive_timeout, events.next()).await
     }
 
-    /// Waits for a target. Tells when it is silent, and goes on to listen until another has room.
-    async fn listen<T>(
+    /// Waits for data from a target. Each time `unresponsive_timeout` passes without data, the control thread
+    /// is informed; the wait continues until the control thread cancels the dispatch, since another target
+    /// has a slot. Without `unresponsive_timeout` only the deadline limits the wait.
+    async fn wait_for_target<T>(
         &mut self,
-        silence: Option<Duration>,
-        heard: impl Future<Output = Result<T, Outcome>>,
+        unresponsive_timeout: Option<Duration>,
+        received: impl Future<Output = Result<T, Outcome>>,
     ) -> Result<T, Outcome> {
-        let mut heard = pin!(heard);
+        let mut received = pin!(received);
         let (ticket, begun) = (self.ticket, self.begun);
-        let mut quiet = false;
+        let mut is_unresponsive = false;
         loop {
             select! {
                 biased;
-                // No other order comes before the dispatch has ended.
-                Some(Order::Leave) = self.orders.recv() => return Err(Outcome::Unresponsive),
-                heard = &mut heard => {
-                    if quiet && heard.is_ok() {
+                // No other command is sent before the dispatch has ended.
+                Some(Command::CancelDispatch) = self.commands.recv() => return Err(Outcome::Unresponsive),
+                received = &mut received => {
+                    if is_unresponsive && received.is_ok() {
                         self.context.control.send(Event::TargetResumed { ticket });
                     }
-                    return heard;
+                    return received;
                 }
-                () = sleep(silence.unwrap_or_default()), if silence.is_some() => {
-                    quiet = true;
+                () = sleep(unresponsive_timeout.unwrap_or_default()),
+                    if unresponsive_timeout.is_some() =>
+                {
+                    is_unresponsive = true;
                     self.context.control.send(Event::TargetUnresponsive { ticket, begun });
                 }
             }
         }
     }
 
-    fn began(&self) {
+    fn report_answer_began(&self) {
         self.context.control.send(Event::AnswerBegan { ticket: self.ticket });
     }
 
-    fn report(&mut self, outcome: Outcome) {
-        self.ended = outcome == Outcome::Completed;
-        if self.ended {
+    /// Informs the control thread that the dispatch in flight ended, and resets the count of its events.
+    fn report_end(&mut self, outcome: Outcome) {
+        self.has_ended = outcome == Outcome::Completed;
+        if self.has_ended {
             let digest = evidence::record::answer_digest(&self.digest.finalize());
-            self.context.control.answered(self.ticket, digest);
+            self.context.control.set_answer_digest(self.ticket, digest);
         }
         let (ticket, begun) = (self.ticket, self.begun);
         let events = std::mem::take(&mut self.events);
@@ -281,7 +308,7 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.context
                 .control
                 .send(Event::CallerDisconnected { ticket: self.ticket, events: self.events });
@@ -289,34 +316,35 @@
     }
 }
 
-/// Passes whole events on, from one target after another where the stream may be resumed.
+/// Passes complete events on to the caller. Where a dispatch ends before its stream does, the events of the
+/// next dispatch follow; the stream ends with an error where it can't be resumed.
 fn relay(
     mut session: Session,
-    first: Piece,
-    mut events: Events,
+    first: StreamEvent,
+    mut events: EventStream,
 ) -> impl futures::Stream<Item = Result<Frame<Bytes>, Broken>> {
     try_stream! {
         let mut next = Ok(Some(first));
         loop {
             match next {
-                Ok(Some(piece)) => {
-                    if is_new(session.last.as_deref(), piece.id.as_deref()) {
+                Ok(Some(event)) => {
+                    if is_new(session.last_event.as_deref(), event.id.as_deref()) {
                         session.begun = true;
-                        session.digest.update(&piece.bytes);
+                        session.digest.update(&event.bytes);
                         session.events += 1;
-                        if piece.id.is_some() {
-                            session.last = piece.id;
+                        if event.id.is_some() {
+                            session.last_event = event.id;
                         }
-                        yield Frame::data(piece.bytes);
+                        yield Frame::data(event.bytes);
                     }
                 }
                 Ok(None) => {
-                    session.report(Outcome::Completed);
+                    session.report_end(Outcome::Completed);
                     break;
                 }
                 Err(outcome) => {
                     drop(events);
-                    session.report(outcome);
+                    session.report_end(outcome);
                     events = *session.resume().await?;
                 }
             }
@@ -325,7 +353,8 @@
     }
 }
 
-/// Whether an event hasn't been passed on yet. Ids grow within a stream.
+/// Returns whether an event wasn't passed on yet, by the ID of the last one that was. IDs are numbers that
+/// grow within a stream; an event counts as new where either ID is missing or isn't a number.
 fn is_new(last: Option<&str>, id: Option<&str>) -> bool {
     let number = |text: Option<&str>| text.and_then(|text| text.parse::<u64>().ok());
     match (number(last), number(id)) {
@@ -334,15 +363,18 @@
     }
 }
 
+/// Refusal of a request that may have run and for which there is neither an answer nor another refusal.
 const LOST: Refusal =
     Refusal { reason: RefusalReason::Lost, not_run: false, retry_after: None, shortage: None };
 
-fn full(bytes: Bytes) -> Body {
+/// Returns a body with these bytes.
+fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-fn plain(status: StatusCode, message: &str) -> Response<Body> {
-    let mut response = Response::new(full(Bytes::from(format!("{message}\n"))));
+/// Builds an error answer with a message for the caller.
+fn text_response(status: StatusCode, message: &str) -> Response<Body> {
+    let mut response = Response::new(full_body(Bytes::from(format!("{message}\n"))));
     *response.status_mut() = status;
     response
 }
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the reducer's state, takes events in and carries effects out.
+//! The control thread: owns the reducer's state, gives events to the reducer and carries out its effects.
 
 use std::{
     collections::HashMap,
@@ -33,84 +33,99 @@
 
 use crate::{
     Feed, Records, Settings,
-    agents::{self, Agents},
+    agents::{self, Reservations},
     dispatch,
-    links::{self, Done, Links},
-    peer::{self, Answer, Told},
+    links::{self, CallResult, Links},
+    peer::{self, ExchangeAnswer, ExchangeRequest},
     proof::{self, Recorder},
     record,
 };
 
-/// Longest sleep of the control thread, in case no timer is due.
-const IDLE: Duration = Duration::from_secs(60);
+/// Longest time for which the control thread waits for a message while no timer is set.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// What a request is told to do next.
+/// Command of the control thread to the task of a request.
 #[derive(Clone, Debug)]
-pub enum Order {
-    /// Dispatch it.
-    Start(Dispatch),
-    /// Close its dispatch, so that another target gets it.
-    Leave,
-    /// End it with an answer of our own.
+pub enum Command {
+    /// Dispatch the request to a target.
+    Dispatch(Dispatch),
+    /// Cancel the dispatch in flight, since another target has a slot for the request.
+    CancelDispatch,
+    /// End the request with an error answer of this process.
     Refuse(Refusal),
-    /// End it with the failure that its target answered with.
-    Pass,
+    /// End the request with the error answer of its last target.
+    PassFailure,
 }
 
+/// Message to the control thread.
 enum Message {
+    /// An event for the reducer.
     Event(Event),
-    Arrived(Request, mpsc::UnboundedSender<Order>),
-    Answered(Ticket, AnswerDigest),
+    /// A request was received completely; commands for it go to the sender.
+    RequestReceived(Request, mpsc::UnboundedSender<Command>),
+    /// The digest of a complete answer; sent before the event that ends the dispatch.
+    AnswerDigest(Ticket, AnswerDigest),
+    /// Record that the process ends, then reply.
     Close(oneshot::Sender<()>),
-    Exchange { told: Told, reply: oneshot::Sender<Answer> },
-    Give { topic: Topic, reply: oneshot::Sender<Option<Bytes>> },
-    Done(Done),
-    Reserved(Event),
+    /// Process the rows and the offer of another entry process and reply with those of this process.
+    Exchange { request: ExchangeRequest, reply: oneshot::Sender<ExchangeAnswer> },
+    /// Reply with the packed data of a topic, or `None` where this process doesn't offer it.
+    Pack { topic: Topic, reply: oneshot::Sender<Option<Bytes>> },
+    /// A call to another entry process ended.
+    CallEnded(CallResult),
+    /// A reservation was granted or denied.
+    ReservationEnded(Event),
 }
 
-/// Speaks to the control thread; clones speak to the same one.
+/// Handle of the control thread; all clones belong to the same thread.
 #[derive(Clone)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
-    tickets: Arc<AtomicU64>,
-    lame: Arc<AtomicBool>,
+    next_ticket: Arc<AtomicU64>,
+    fails_health_checks: Arc<AtomicBool>,
     status: watch::Receiver<Status>,
-    /// Where this process listens for the others.
+    /// Address at which this process listens for other entry processes.
     pub address: SocketAddr,
 }
 
-/// What the control thread says of itself.
+/// Status that the control thread publishes to the other tasks of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Whether the balancer should send requests here.
+    /// Whether the process accepts requests: its configuration is current and it isn't draining.
     pub ready: bool,
-    /// Whether another entry process isn't heard that may take requests.
+    /// Whether the row of any other entry process that may take requests is missing or out of date.
     pub lonely: bool,
-    /// Other entry processes that may be alive.
+    /// Addresses of the other entry processes that may be alive, sorted.
     pub peers: Vec<SocketAddr>,
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first one is known.
     pub plan: Option<Arc<Configuration>>,
-    /// What the platform's service is to be told of roll-outs.
+    /// Reports on rollouts that have to be written to the platform's service.
     pub reports: Vec<Report>,
-    /// Number of this process among those that may tell it.
+    /// Index of this process among the entry processes that may write the same reports; each waits for the
+    /// ones before it.
     pub turn: u32,
 }
 
-struct Thread {
+/// State of the control thread.
+struct ControlThread {
     state: State,
-    orders: HashMap<Ticket, mpsc::UnboundedSender<Order>>,
-    ids: HashMap<Ticket, String>,
+    /// Senders of commands to the requests that haven't ended.
+    commands: HashMap<Ticket, mpsc::UnboundedSender<Command>>,
+    /// IDs that the callers sent with those requests.
+    request_ids: HashMap<Ticket, String>,
     links: Links,
-    agents: Agents,
+    reservations: Reservations,
     messages: mpsc::UnboundedSender<Message>,
     status: watch::Sender<Status>,
-    own: SocketAddr,
-    exchanges: u64,
+    /// Address at which this process listens for other entry processes.
+    own_address: SocketAddr,
+    /// Number of rounds of exchanges that were started.
+    exchange_rounds: u64,
     metrics: Arc<Gateway>,
     recorder: Recorder,
 }
 
-/// Starts the control thread.
+/// Starts the control thread, which also serves the other entry processes that connect to `peers`.
 pub fn spawn(
     settings: &Settings,
     peers: TcpListener,
@@ -119,53 +134,55 @@
 ) -> io::Result<Handle> {
     let Records { metrics, evidence } = records;
     let (messages, inbox) = mpsc::unbounded_channel();
-    let (status, reader) = watch::channel(Status::default());
+    let (status, status_receiver) = watch::channel(Status::default());
     let handle = Handle {
         messages: messages.clone(),
-        tickets: Arc::default(),
-        lame: Arc::default(),
-        status: reader,
+        next_ticket: Arc::default(),
+        fails_health_checks: Arc::default(),
+        status: status_receiver,
         address: settings.direct.address,
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-    let reports = messages.clone();
-    // The thread ends only with the process.
-    let report: links::Report = Arc::new(move |done| drop(reports.send(Message::Done(done))));
-    let reports = messages.clone();
-    let reserved: agents::Report =
-        Arc::new(move |event| drop(reports.send(Message::Reserved(event))));
+    let sender = messages.clone();
+    // Sending can't fail: the control thread ends only with the process.
+    let on_call_ended: links::OnCallEnded =
+        Arc::new(move |result| drop(sender.send(Message::CallEnded(result))));
+    let sender = messages.clone();
+    let on_reservation_ended: agents::OnReservationEnded =
+        Arc::new(move |event| drop(sender.send(Message::ReservationEnded(event))));
     let incarnation = settings.direct.incarnation;
-    let thread = Thread {
+    let thread = ControlThread {
         state: direct::open(Instant::now(), settings.direct.clone()),
-        orders: HashMap::new(),
-        ids: HashMap::new(),
-        links: links::open(report, Arc::clone(&metrics)),
-        agents: agents::open(incarnation, reserved, Arc::clone(&metrics)),
+        commands: HashMap::new(),
+        request_ids: HashMap::new(),
+        links: links::open(on_call_ended, Arc::clone(&metrics)),
+        reservations: agents::open(incarnation, on_reservation_ended, Arc::clone(&metrics)),
         messages,
         status,
-        own: settings.direct.address,
-        exchanges: 0,
+        own_address: settings.direct.address,
+        exchange_rounds: 0,
         metrics,
         recorder: proof::open(evidence),
     };
-    // A listener belongs to the runtime that polls it.
+    // A listener is registered with one runtime, so it is converted here and registered again on the control
+    // thread's runtime.
     let peers = peers.into_std()?;
-    let (settings, given) = (settings.clone(), handle.clone());
+    let (settings, thread_handle) = (settings.clone(), handle.clone());
     thread::Builder::new().name("control".into()).spawn(move || {
         runtime.block_on(async move {
             match TcpListener::from_std(peers) {
-                Ok(peers) => peer::spawn(peers, given.clone()),
+                Ok(peers) => peer::spawn(peers, thread_handle.clone()),
                 Err(error) => error!(%error, "can't serve other entry processes"),
             }
-            given.introduce(&settings.seeds);
-            tokio::spawn(feed(given));
+            thread_handle.introduce(&settings.seeds);
+            tokio::spawn(feed(thread_handle));
             thread.run(inbox).await;
         });
     })?;
     Ok(handle)
 }
 
-/// The time now.
+/// Returns the current time by the monotonic clock and by the boot clock.
 pub fn now() -> Now {
     let boot = clock_gettime(ClockId::Boottime);
     let boot = Duration::new(
@@ -176,182 +193,188 @@
 }
 
 impl Handle {
-    /// Gives an event to the reducer.
+    /// Sends an event to the reducer.
     pub fn send(&self, event: Event) {
-        // The thread ends only with the process.
+        // Sending can't fail: the control thread ends only with the process.
         let _ = self.messages.send(Message::Event(event));
     }
 
-    /// Hears of entry processes that may be alive.
+    /// Adds addresses of entry processes that may be alive.
     pub fn introduce(&self, seeds: &[SocketAddr]) {
         let seeds = seeds.iter().map(|&address| Registration { address, stamp: 0 });
         self.send(Event::PeersDiscovered(seeds.collect()));
     }
 
-    /// A number for a new request.
-    pub fn ticket(&self) -> Ticket {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+    /// Returns an unused number for a new request.
+    pub fn next_ticket(&self) -> Ticket {
+        self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Takes a request in; what it is told comes through the receiver.
-    pub fn arrive(&self, request: Request) -> mpsc::UnboundedReceiver<Order> {
-        let (orders, receiver) = mpsc::unbounded_channel();
-        let _ = self.messages.send(Message::Arrived(request, orders));
+    /// Passes a new request to the reducer; returns the receiver of the commands for it.
+    pub fn begin_request(&self, request: Request) -> mpsc::UnboundedReceiver<Command> {
+        let (commands, receiver) = mpsc::unbounded_channel();
+        let _ = self.messages.send(Message::RequestReceived(request, commands));
         receiver
     }
 
-    /// Takes in what another process tells and gives what it asks for.
-    pub async fn exchange(&self, told: Told) -> Answer {
+    /// Processes the rows and the offer of another entry process; returns the rows that it asks for and the
+    /// offer of this process.
+    pub async fn exchange(&self, request: ExchangeRequest) -> ExchangeAnswer {
         let (reply, answer) = oneshot::channel();
-        let _ = self.messages.send(Message::Exchange { told, reply });
+        let _ = self.messages.send(Message::Exchange { request, reply });
         answer.await.unwrap_or_default()
     }
 
-    /// Packs a topic for another process that lacks it; nothing where it isn't offered.
-    pub async fn give(&self, topic: Topic) -> Option<Bytes> {
-        let (reply, given) = oneshot::channel();
-        let _ = self.messages.send(Message::Give { topic, reply });
-        given.await.unwrap_or_default()
+    /// Packs the data of a topic for another entry process; returns `None` where this process doesn't offer
+    /// it.
+    pub async fn pack(&self, topic: Topic) -> Option<Bytes> {
+        let (reply, packed) = oneshot::channel();
+        let _ = self.messages.send(Message::Pack { topic, reply });
+        packed.await.unwrap_or_default()
     }
 
-    /// What the control thread says of itself, as it changes.
+    /// Returns a receiver of the control thread's status and its changes.
     pub fn watch(&self) -> watch::Receiver<Status> {
         self.status.clone()
     }
 
-    /// What goes to a request's caller has this digest.
-    pub fn answered(&self, ticket: Ticket, digest: AnswerDigest) {
-        let _ = self.messages.send(Message::Answered(ticket, digest));
+    /// Records the digest of the complete answer to a request, before the event that ends the dispatch.
+    pub fn set_answer_digest(&self, ticket: Ticket, digest: AnswerDigest) {
+        let _ = self.messages.send(Message::AnswerDigest(ticket, digest));
     }
 
-    /// Writes the last record of evidence.
-    pub async fn close(&self) {
-        let (done, closed) = oneshot::channel();
-        let _ = self.messages.send(Message::Close(done));
-        // The thread ends only with the process.
+    /// Writes the last record of evidence, and returns once it is in the buffer.
+    pub async fn record_close(&self) {
+        let (reply, closed) = oneshot::channel();
+        let _ = self.messages.send(Message::Close(reply));
+        // Receiving can't fail: the control thread ends only with the process.
         let _ = closed.await;
     }
 
-    /// Lets the health check fail from now on.
-    pub fn lame(&self) {
-        self.lame.store(true, Ordering::Relaxed);
+    /// Makes all health checks fail from now on.
+    pub fn fail_health_checks(&self) {
+        self.fails_health_checks.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the balancer should send requests here.
+    /// Returns whether the load balancer should send requests to this process.
     pub fn is_ready(&self) -> bool {
-        self.status.borrow().ready && !self.lame.load(Ordering::Relaxed)
+        self.status.borrow().ready && !self.fails_health_checks.load(Ordering::Relaxed)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first one is known.
     pub fn plan(&self) -> Option<Arc<Configuration>> {
         self.status.borrow().plan.clone()
     }
 }
 
-impl Thread {
+impl ControlThread {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
-        let mut exchange = Instant::now();
+        let mut next_exchange = Instant::now();
         loop {
             let wake = direct::next_wake(&self.state, Instant::now());
-            let wake = wake.unwrap_or_else(|| Instant::now() + IDLE);
+            let wake = wake.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                () = sleep_until(exchange.into()) => {
-                    exchange = Instant::now() + peers::period(self.links.len());
-                    self.exchange();
+                () = sleep_until(next_exchange.into()) => {
+                    next_exchange = Instant::now() + peers::period(self.links.len());
+                    self.exchange_with_peers();
                 }
                 () = sleep_until(wake.into()) => self.reduce(Event::Tick),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
             Message::Event(event) => {
                 if matches!(event, Event::Drain { .. }) {
-                    self.recorder.draining();
+                    self.recorder.record_draining();
                 }
                 if let Event::CallerDisconnected { ticket, events } = event {
-                    self.left(ticket, events);
-                    self.recorder.left(ticket);
+                    self.log_caller_disconnected(ticket, events);
+                    self.recorder.record_caller_disconnected(ticket);
                     self.forget(ticket);
                 }
                 self.reduce(event);
             }
-            Message::Arrived(request, orders) => {
-                self.orders.insert(request.ticket, orders);
-                self.ids.insert(request.ticket, request.id.clone());
-                self.recorder.arrived(request.ticket, &request.id);
+            Message::RequestReceived(request, commands) => {
+                self.commands.insert(request.ticket, commands);
+                self.request_ids.insert(request.ticket, request.id.clone());
+                self.recorder.begin_request(request.ticket, &request.id);
                 self.reduce(Event::RequestReceived(request));
             }
-            Message::Answered(ticket, digest) => self.recorder.answered(ticket, digest),
-            Message::Close(done) => {
-                self.recorder.closed();
-                let _ = done.send(());
+            Message::AnswerDigest(ticket, digest) => {
+                self.recorder.set_answer_digest(ticket, digest);
             }
-            Message::Exchange { told: Told { rows, all, offer }, reply } => {
+            Message::Close(reply) => {
+                self.recorder.record_close();
+                let _ = reply.send(());
+            }
+            Message::Exchange { request: ExchangeRequest { rows, all, offer }, reply } => {
                 let peer = rows.first().and_then(|row| row.address);
                 self.reduce(Event::RowsReceived(rows));
                 if let Some(peer) = peer {
                     self.reduce(Event::PeerOffered { peer, offer });
                 }
                 let offer = self.state.offer(now());
-                let _ = reply.send(Answer { rows: self.rows(all), offer });
+                let _ = reply.send(ExchangeAnswer { rows: self.rows(all), offer });
             }
-            Message::Give { topic, reply } => {
+            Message::Pack { topic, reply } => {
                 let (state, now) = (&self.state, now());
-                // The default where it isn't offered, which is the version of nothing that was packed.
+                // The default position where the topic isn't offered: no packed data has that version.
                 let version = state.offer(now).known.of(topic);
-                let given = self.links.give(topic, version, || state.news(now, topic));
-                let _ = reply.send(given);
+                let packed = self.links.pack(topic, version, || state.news(now, topic));
+                let _ = reply.send(packed);
             }
-            Message::Reserved(event) => {
+            Message::ReservationEnded(event) => {
                 if let Event::Denied { ticket, number, .. } = event {
-                    self.agents.denied(ticket, number);
+                    self.reservations.remove_denied(ticket, number);
                 }
                 self.reduce(event);
             }
-            Message::Done(Done::Exchanged(peer, answer)) => {
-                if let Some(Answer { rows, offer }) = self.links.exchanged(peer, answer) {
+            Message::CallEnded(CallResult::Exchange(peer, result)) => {
+                if let Some(ExchangeAnswer { rows, offer }) = self.links.end_exchange(peer, result)
+                {
                     self.reduce(Event::RowsReceived(rows));
                     self.reduce(Event::PeerOffered { peer, offer });
                 }
             }
-            Message::Done(Done::Fetched(peer, topic, fetched)) => {
-                record::fetched(peer, topic, &fetched);
-                let news = fetched.ok().map(|fetched| fetched.news);
+            Message::CallEnded(CallResult::Fetch(peer, topic, result)) => {
+                record::log_fetch(peer, topic, &result);
+                let news = result.ok().map(|fetched| fetched.news);
                 self.reduce(Event::Fetched { peer, topic, news });
             }
         }
     }
 
+    /// Gives an event to the reducer and carries out the effects that it returns.
     fn reduce(&mut self, event: Event) {
         let now = now();
         self.observe(now.steady, &event);
         if let Event::DispatchEnded { ticket, outcome, .. } = event {
-            self.recorder.ran(ticket, outcome);
+            self.recorder.end_dispatch(ticket, outcome);
         }
-        let ended = match &event {
+        let completed = match &event {
             Event::DispatchEnded { ticket, outcome: Outcome::Completed, .. } => Some(*ticket),
             _ => None,
         };
         for effect in direct::reduce(&mut self.state, now, event) {
-            record::decided(&self.state, now, &effect);
-            record::count(&self.state, now.steady, &self.metrics, &effect);
+            record::log_effect(&self.state, now, &effect);
+            record::count_effect(&self.state, now.steady, &self.metrics, &effect);
             self.carry_out(effect);
         }
-        if let Some(ticket) = ended {
+        if let Some(ticket) = completed {
             self.forget(ticket);
         }
-        self.tell();
+        self.publish_status();
     }
 
-    /// Logs that a caller left before its answer was whole.
-    fn left(&self, ticket: Ticket, events: u32) {
-        let Some(id) = self.ids.get(&ticket) else {
+    /// Logs that a caller disconnected before its answer was complete.
+    fn log_caller_disconnected(&self, ticket: Ticket, events: u32) {
+        let Some(id) = self.request_ids.get(&ticket) else {
             return;
         };
         let view = self.state.dispatch_view(ticket, Instant::now());
@@ -359,7 +382,7 @@
         info!(request = id, dispatched = view.is_some(), events, after_ms, "its caller left");
     }
 
-    /// Logs and counts what happened to a dispatch.
+    /// Logs and counts an event of a dispatch in flight; must run before the reducer processes the event.
     fn observe(&self, now: Instant, event: &Event) {
         match event {
             Event::AnswerBegan { ticket } => {
@@ -371,20 +394,20 @@
                 if let Some(view) =
                     self.state.dispatch_view(*ticket, now).filter(|view| !view.is_seeking)
                 {
-                    record::quiet(&view, *begun);
+                    record::log_unresponsive(&view, *begun);
                 }
             }
             Event::TargetResumed { ticket } => {
                 if let Some(view) =
                     self.state.dispatch_view(*ticket, now).filter(|view| view.is_seeking)
                 {
-                    record::spoke(&view);
+                    record::log_resumed(&view);
                 }
             }
             Event::DispatchEnded { ticket, outcome, begun, events } => {
                 if let Some(view) = self.state.dispatch_view(*ticket, now) {
-                    record::ended(&view, *outcome, *begun, *events);
-                    self.metrics.ended(record::name(*outcome));
+                    record::log_dispatch_ended(&view, *outcome, *begun, *events);
+                    self.metrics.ended(record::outcome_name(*outcome));
                     if *outcome == Outcome::Completed {
                         self.metrics.whole(view.account, view.waited);
                         self.metrics.sized(view.tier, view.expected_tokens, true);
@@ -398,54 +421,60 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Dispatch(dispatch) => {
-                self.recorder.started(&dispatch);
-                if let Some(orders) = self.orders.get(&dispatch.ticket) {
-                    let _ = orders.send(Order::Start(dispatch));
+                self.recorder.begin_dispatch(&dispatch);
+                if let Some(commands) = self.commands.get(&dispatch.ticket) {
+                    let _ = commands.send(Command::Dispatch(dispatch));
                 }
             }
             Effect::CancelDispatch { ticket, .. } => {
-                if let Some(orders) = self.orders.get(&ticket) {
-                    let _ = orders.send(Order::Leave);
+                if let Some(commands) = self.commands.get(&ticket) {
+                    let _ = commands.send(Command::CancelDispatch);
                 }
             }
             Effect::Refuse { ticket, refusal, context } => {
-                let id = self.ids.get(&ticket).map(String::as_str).unwrap_or_default();
-                record::refused(id, &refusal, &context, self.state.open_requests());
-                self.recorder.refused(ticket, &refusal);
-                self.end(ticket, Order::Refuse(refusal));
+                let id = self.request_ids.get(&ticket).map(String::as_str).unwrap_or_default();
+                record::log_refusal(id, &refusal, &context, self.state.open_requests());
+                self.recorder.record_refusal(ticket, &refusal);
+                self.end(ticket, Command::Refuse(refusal));
             }
             Effect::PassFailure { ticket } => {
-                self.recorder.passed(ticket);
-                self.end(ticket, Order::Pass);
+                self.recorder.record_passed_failure(ticket);
+                self.end(ticket, Command::PassFailure);
             }
             Effect::Probe { target, address } => {
                 let messages = self.messages.clone();
                 tokio::spawn(async move {
-                    let connected = timeout(dispatch::CONNECT, TcpStream::connect(address)).await;
+                    let connected =
+                        timeout(dispatch::CONNECT_TIMEOUT, TcpStream::connect(address)).await;
                     let reached = matches!(connected, Ok(Ok(_)));
                     let _ = messages.send(Message::Event(Event::Probed { target, reached }));
                 });
             }
             Effect::Fetch { peer, topic } => self.links.fetch(peer, topic),
-            Effect::Reserve(reservation) => self.agents.reserve(reservation),
-            Effect::WithdrawReservation { ticket, number } => self.agents.withdraw(ticket, number),
+            Effect::Reserve(reservation) => self.reservations.reserve(reservation),
+            Effect::WithdrawReservation { ticket, number } => {
+                self.reservations.withdraw(ticket, number)
+            }
             Effect::Log(_) => {}
         }
     }
 
-    fn end(&mut self, ticket: Ticket, order: Order) {
-        if let Some(orders) = self.orders.remove(&ticket) {
-            let _ = orders.send(order);
+    /// Sends the last command to a request and removes the request.
+    fn end(&mut self, ticket: Ticket, command: Command) {
+        if let Some(commands) = self.commands.remove(&ticket) {
+            let _ = commands.send(command);
         }
-        self.ids.remove(&ticket);
+        self.request_ids.remove(&ticket);
     }
 
+    /// Removes a request that needs no more commands.
     fn forget(&mut self, ticket: Ticket) {
-        self.orders.remove(&ticket);
-        self.ids.remove(&ticket);
+        self.commands.remove(&ticket);
+        self.request_ids.remove(&ticket);
     }
 
-    fn tell(&mut self) {
+    /// Updates the gauges, and publishes the status where it changed.
+    fn publish_status(&mut self) {
         let ready = self.state.is_ready();
         self.metrics.open.set(self.state.open_requests() as i64);
         let list_age = self.state.list_age(Instant::now());
@@ -468,6 +497,7 @@
         });
     }
 
+    /// Returns a new row of this process, followed with `all` by the last rows of the others.
     fn rows(&mut self, all: bool) -> Vec<Row> {
         let mut rows = vec![self.state.next_row(Instant::now())];
         if all {
@@ -476,29 +506,31 @@
         rows
     }
 
-    /// Measures what every other process is told with each exchange.
-    fn measure(&mut self, now: Instant) {
+    /// Measures the size of this process's row, which each exchange sends to another process.
+    fn measure_row(&mut self, now: Instant) {
         match postcard::to_stdvec(&self.state.next_row(now)) {
             Ok(row) => drop(self.metrics.row_bytes.set(row.len() as i64)),
             Err(error) => error!(%error, "the own row can't be packed"),
         }
     }
 
-    /// Exchanges rows and offers with those whose address is higher, and with all that aren't heard.
-    fn exchange(&mut self) {
-        self.exchanges += 1;
+    /// Starts an exchange with each process whose address is higher than this process's, and with each
+    /// process whose row isn't current. Processes with lower addresses start the others.
+    fn exchange_with_peers(&mut self) {
+        self.exchange_rounds += 1;
         let now = now();
         let peers: Vec<SocketAddr> = self.state.peers().collect();
         self.links.retain(&peers);
-        self.measure(now.steady);
-        let teller = peers.partition_point(|&address| address < self.own);
-        for (place, address) in peers.into_iter().enumerate() {
-            if address < self.own && self.state.is_row_current(now.steady, address) {
+        self.measure_row(now.steady);
+        let own_index = peers.partition_point(|&address| address < self.own_address);
+        for (index, address) in peers.into_iter().enumerate() {
+            if address < self.own_address && self.state.is_row_current(now.steady, address) {
                 continue;
             }
-            let all = peers::tells_all(self.exchanges, teller, place);
-            let told = Told { rows: self.rows(all), all, offer: self.state.offer(now) };
-            self.links.exchange(address, told);
+            let all = peers::tells_all(self.exchange_rounds, own_index, index);
+            let request =
+                ExchangeRequest { rows: self.rows(all), all, offer: self.state.offer(now) };
+            self.links.exchange(address, request);
         }
         self.reduce(Event::Tick);
     }
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to a target.
+//! Sends a request to a target and reads the answer.
 
 use std::{pin::Pin, time::Duration};
 
@@ -19,98 +19,102 @@
 
 use crate::{
     Call, Dialect, Verdict,
-    events::{Piece, Splitter},
+    events::{EventSplitter, StreamEvent},
 };
 
-/// Longest wait for a connection. A target nearby takes one within a few milliseconds; one that is
-/// cut off or dark takes none, and the request has then surely not been sent.
-pub const CONNECT: Duration = Duration::from_millis(300);
-/// Longest time for which data may stay unacknowledged before the connection counts as dead.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(700);
-/// Time without data after which a connection is probed, and between two probes. A target that went
-/// dark shows itself so, also to requests that wait for its answer.
-const PROBE: Duration = Duration::from_millis(500);
-/// Probes without an answer after which the connection counts as dead.
-const PROBES: u32 = 2;
-/// Time for which an unused connection is kept; targets close theirs later.
-const IDLE: Duration = Duration::from_secs(3);
-/// Time after the end of a request's time in which the target's own word on that is waited for.
-const WORD: Duration = Duration::from_millis(100);
-/// Largest answer that is held whole, in bytes.
-const ANSWER_MAX: usize = 16 << 20;
-
-/// Connections to all targets.
-pub type Targets = legacy::Client<HttpConnector, Full<Bytes>>;
-
-/// Gives a set without connections.
-pub fn open() -> Targets {
+/// Timeout of establishing a connection. A target nearby accepts one within a few milliseconds; a target that
+/// is partitioned or down accepts none, and then the request has certainly not been sent.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which sent data may stay unacknowledged before the connection is closed as dead.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time without data after which TCP probes a connection, and time between two probes. They detect a target
+/// that went down also while a request waits for its answer.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of unanswered probes after which a connection is closed as dead.
+const KEEPALIVE_RETRIES: u32 = 2;
+/// Time for which an idle connection is kept open. It is shorter than the idle timeout of targets, so that no
+/// request is sent on a connection that its target just closes.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after a request's deadline for which this process still waits for the target's own answer that the
+/// deadline passed.
+const DEADLINE_GRACE: Duration = Duration::from_millis(100);
+/// Maximum size in bytes of an answer that isn't a stream: it is buffered completely.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+
+/// HTTP client with a pool of connections to all targets.
+pub type TargetClient = legacy::Client<HttpConnector, Full<Bytes>>;
+
+/// Builds a client without connections.
+pub fn open() -> TargetClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT));
-    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
-    connector.set_keepalive(Some(PROBE));
-    connector.set_keepalive_interval(Some(PROBE));
-    connector.set_keepalive_retries(Some(PROBES));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
     legacy::Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(IDLE)
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .build(connector)
 }
 
-/// What a dispatch gave.
-pub enum Opened {
+/// Answer of a target whose head was received and whose body wasn't read yet.
+pub enum TargetAnswer {
     /// An answer that isn't a stream.
-    Whole(Unread),
-    /// One that tells of a failure.
-    Failure(Unread),
-    /// The head of a stream, and what follows.
-    Stream(Box<response::Parts>, Box<Events>),
+    Plain(UnreadAnswer),
+    /// An error answer.
+    Failure(UnreadAnswer),
+    /// Head and events of a stream.
+    Stream(Box<response::Parts>, Box<EventStream>),
 }
 
-/// An answer of which the head came.
-pub struct Unread {
+/// An answer without a stream, whose body wasn't read yet.
+pub struct UnreadAnswer {
     head: response::Parts,
     body: Incoming,
-    watch: Watch,
+    time_limit: TimeLimit,
 }
 
-/// The events of one dispatch.
-pub struct Events {
-    /// Silence after which another target is looked for, where there may be one.
-    pub silence: Option<Duration>,
+/// The events of a stream that one dispatch receives.
+pub struct EventStream {
+    /// Time without data from the target after which the reducer searches for another target; `None` where
+    /// the request may not be dispatched again.
+    pub unresponsive_timeout: Option<Duration>,
     body: Pin<Box<Incoming>>,
-    splitter: Splitter,
+    splitter: EventSplitter,
     connection: CaptureConnection,
-    watch: Watch,
-    ended: bool,
+    time_limit: TimeLimit,
+    /// Whether the stream was received to its end.
+    is_complete: bool,
 }
 
-/// Sends a request and reads the head of its answer. Tells at once the rate limit, in requests a second,
-/// that this names.
+/// Sends a request to a target and waits for the head of the answer. Where the head states a rate limit in
+/// requests per second, `on_rate_limit` is called with it before this function returns.
 pub async fn send(
-    targets: &Targets,
+    client: &TargetClient,
     dialect: &Dialect,
     call: &Call,
     dispatch: &Dispatch,
     last_event: Option<&str>,
-    limited: impl Fn(f64),
-) -> Result<Opened, Outcome> {
-    let until = Instant::from_std(dispatch.deadline) + WORD;
+    on_rate_limit: impl Fn(f64),
+) -> Result<TargetAnswer, Outcome> {
+    let end = Instant::from_std(dispatch.deadline) + DEADLINE_GRACE;
     let remaining = dispatch.deadline.saturating_duration_since(std::time::Instant::now());
     if remaining.is_zero() {
         return Err(Outcome::DeadlineExceeded);
     }
     let mut request = (dialect.forward)(call, dispatch, remaining, last_event);
     let connection = capture_connection(&mut request);
-    let watch = Watch { until };
-    let answer = watch.wait(targets.request(request)).await?;
-    let answer = answer.map_err(|error| lost(&error))?;
+    let time_limit = TimeLimit { end };
+    let answer = time_limit.wait(client.request(request)).await?;
+    let answer = answer.map_err(|error| failure_outcome(&error))?;
     let (mut head, body) = answer.into_parts();
     let verdict = (dialect.judge)(&head, call);
-    // Any other verdict says that this isn't the target's answer.
+    // With any other verdict the answer isn't one of this target.
     if matches!(verdict, Verdict::Answer | Verdict::Failure | Verdict::NotRun) {
         match (dialect.limit)(&head) {
-            Ok(per_second) => per_second.into_iter().for_each(limited),
+            Ok(per_second) => per_second.into_iter().for_each(on_rate_limit),
             Err(message) => warn!(to = dispatch.target, message, "a rate limit can't be read"),
         }
     }
@@ -119,51 +123,59 @@
         Verdict::NotRun => Err(Outcome::Rejected),
         Verdict::Replaced => Err(Outcome::Replaced),
         Verdict::Foreign => {
-            poison(&connection);
+            close_after_use(&connection);
             Err(Outcome::Incomplete { crashed: false })
         }
         Verdict::Answer if dispatch.is_stream => {
             let body = Box::pin(body);
-            let (silence, splitter) = (dispatch.unresponsive_timeout, Splitter::default());
-            let events = Events { silence, body, splitter, connection, watch, ended: false };
-            Ok(Opened::Stream(Box::new(head), Box::new(events)))
+            let unresponsive_timeout = dispatch.unresponsive_timeout;
+            let splitter = EventSplitter::default();
+            let events = EventStream {
+                unresponsive_timeout,
+                body,
+                splitter,
+                connection,
+                time_limit,
+                is_complete: false,
+            };
+            Ok(TargetAnswer::Stream(Box::new(head), Box::new(events)))
         }
-        Verdict::Answer => Ok(Opened::Whole(Unread { head, body, watch })),
-        Verdict::Failure => Ok(Opened::Failure(Unread { head, body, watch })),
+        Verdict::Answer => Ok(TargetAnswer::Plain(UnreadAnswer { head, body, time_limit })),
+        Verdict::Failure => Ok(TargetAnswer::Failure(UnreadAnswer { head, body, time_limit })),
     }
 }
 
-/// How long a target is waited for.
+/// Time at which a dispatch times out, [`DEADLINE_GRACE`] after the request's deadline.
 #[derive(Clone, Copy)]
-struct Watch {
-    until: Instant,
+struct TimeLimit {
+    end: Instant,
 }
 
-impl Watch {
+impl TimeLimit {
     async fn wait<T>(&self, answer: impl Future<Output = T>) -> Result<T, Outcome> {
-        timeout_at(self.until, answer).await.map_err(|_| Outcome::DeadlineExceeded)
+        timeout_at(self.end, answer).await.map_err(|_| Outcome::DeadlineExceeded)
     }
 }
 
-impl Unread {
-    /// Reads the answer to its end.
+impl UnreadAnswer {
+    /// Reads the body of the answer; returns the complete answer.
     pub async fn read(self) -> Result<Response<Bytes>, Outcome> {
-        let Unread { head, body, watch } = self;
-        match watch.wait(Limited::new(body, ANSWER_MAX).collect()).await? {
+        let UnreadAnswer { head, body, time_limit } = self;
+        match time_limit.wait(Limited::new(body, MAX_ANSWER_BYTES).collect()).await? {
             Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
             Err(_) => Err(Outcome::Incomplete { crashed: true }),
         }
     }
 }
 
-impl Events {
-    /// The next whole event; `None` at the end of a whole stream.
-    pub async fn next(&mut self) -> Result<Option<Piece>, Outcome> {
+impl EventStream {
+    /// Returns the next complete event, or `None` at the end of a complete stream.
+    pub async fn next(&mut self) -> Result<Option<StreamEvent>, Outcome> {
         loop {
-            if let Some(piece) = self.splitter.next() {
-                return Ok(Some(piece));
+            if let Some(event) = self.splitter.next() {
+                return Ok(Some(event));
             }
-            match self.watch.wait(self.body.frame()).await? {
+            match self.time_limit.wait(self.body.frame()).await? {
                 Some(Ok(frame)) => {
                     if let Some(bytes) = frame.data_ref() {
                         self.splitter.push(bytes);
@@ -171,7 +183,7 @@
                 }
                 Some(Err(_)) => return Err(Outcome::Incomplete { crashed: true }),
                 None if self.splitter.is_empty() => {
-                    self.ended = true;
+                    self.is_complete = true;
                     return Ok(None);
                 }
                 None => return Err(Outcome::Incomplete { crashed: true }),
@@ -180,23 +192,25 @@
     }
 }
 
-impl Drop for Events {
+impl Drop for EventStream {
     fn drop(&mut self) {
-        // A stream that is left before its end still runs until its connection is closed.
-        if !self.ended {
-            poison(&self.connection);
+        // The target runs the request until its stream ends or the connection is closed.
+        if !self.is_complete {
+            close_after_use(&self.connection);
         }
     }
 }
 
-fn lost(error: &legacy::Error) -> Outcome {
+/// Returns the outcome of a dispatch that failed before the head of the answer was received.
+fn failure_outcome(error: &legacy::Error) -> Outcome {
     if error.is_connect() {
         return Outcome::Unreachable;
     }
     Outcome::Incomplete { crashed: true }
 }
 
-fn poison(connection: &CaptureConnection) {
+/// Prevents the pool from using a connection for another request; the connection closes once the answer is dropped.
+fn close_after_use(connection: &CaptureConnection) {
     if let Some(connected) = connection.connection_metadata().as_ref() {
         connected.poison();
     }
--- a/components/gateway/src/events.rs
+++ b/components/gateway/src/events.rs
@@ -1,66 +1,68 @@
-//! Cuts a stream of server-sent events into whole ones.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of a stream that don't make a whole event yet.
+/// Splits the bytes of a stream into events, and buffers the beginning of an incomplete event.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer in which no event ends.
+    /// Number of bytes at the beginning of the buffer in which no event ends.
     searched: usize,
 }
 
-/// One event, with the blank line that ends it.
+/// A complete event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Piece {
-    /// Its bytes.
+pub struct StreamEvent {
+    /// Bytes of the event, with the blank line that ends it.
     pub bytes: Bytes,
-    /// Its id.
+    /// Value of the event's `id` field; `None` where the event has none.
     pub id: Option<String>,
 }
 
-impl Splitter {
-    /// Adds bytes as they arrive.
+impl EventSplitter {
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
-    pub fn next(&mut self) -> Option<Piece> {
+    /// Removes the next complete event from the buffer; returns `None` where the buffer has none.
+    pub fn next(&mut self) -> Option<StreamEvent> {
+        // The first three bytes of a blank line may be at the end of the bytes that were searched.
         let from = self.searched.saturating_sub(3);
-        let Some(end) = end(&self.buffer[from..]) else {
+        let Some(end) = event_end(&self.buffer[from..]) else {
             self.searched = self.buffer.len();
             return None;
         };
         let bytes = self.buffer.split_to(from + end).freeze();
         self.searched = 0;
-        let id = id(&bytes);
-        Some(Piece { bytes, id })
+        let id = event_id(&bytes);
+        Some(StreamEvent { bytes, id })
     }
 
-    /// Whether no part of an event is left.
+    /// Returns whether the buffer is empty, so that the last event was complete.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 }
 
-/// Where the first blank line ends.
-fn end(bytes: &[u8]) -> Option<usize> {
-    let mut at = 0;
-    while at < bytes.len() {
-        let rest = &bytes[at..];
+/// Returns the position after the first blank line, or `None` where there is no blank line.
+fn event_end(bytes: &[u8]) -> Option<usize> {
+    let mut position = 0;
+    while position < bytes.len() {
+        let rest = &bytes[position..];
         if rest.starts_with(b"\n\n") {
-            return Some(at + 2);
+            return Some(position + 2);
         }
         if rest.starts_with(b"\r\n\r\n") {
-            return Some(at + 4);
+            return Some(position + 4);
         }
-        at += 1;
+        position += 1;
     }
     None
 }
 
-fn id(bytes: &[u8]) -> Option<String> {
+/// Returns the value of an event's first `id` field, without surrounding whitespace.
+fn event_id(bytes: &[u8]) -> Option<String> {
     let mut lines = bytes.split(|&byte| byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     Some(String::from_utf8_lossy(value).trim().to_owned())
--- a/components/gateway/src/ingress.rs
+++ b/components/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, and the balancer's health checks.
+//! HTTP servers for callers, for the load balancer's health checks and for metrics.
 
 use std::{
     convert::Infallible,
@@ -25,92 +25,102 @@
 
 use crate::{Body, call};
 
-/// Time beyond the operators' limit for which an unused connection stays open, so that no caller
-/// uses it just as it closes.
-const IDLE_EXTRA: Duration = Duration::from_secs(2);
-/// Time for the first request of a connection that comes while the process leaves.
-const FIRST: Duration = Duration::from_millis(500);
-/// Limit that is assumed before the configuration is known.
-const IDLE: Duration = Duration::from_secs(60);
-/// Wait after a failed accept, which is mostly for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-
-/// The running servers.
+/// Time added to the configured idle timeout of connections, so that no caller sends a request on a
+/// connection just as this process closes it.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Timeout of the first request on a connection that was accepted but had no request yet when the process
+/// began to drain.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle timeout of connections before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after a connection couldn't be accepted, mostly because the process has no file descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Handle of the running servers.
 pub struct Handle {
     shared: Arc<Shared>,
 }
 
+/// State that the servers for callers and for health checks share.
 struct Shared {
     context: Arc<call::Context>,
-    closing: watch::Sender<bool>,
-    /// Requests that are being answered.
-    open: AtomicUsize,
-    ended: Notify,
+    /// Whether connections are closed once they have no request.
+    is_closing: watch::Sender<bool>,
+    /// Number of requests that haven't ended.
+    open_requests: AtomicUsize,
+    /// Notified each time the number of open requests becomes 0.
+    became_idle: Notify,
 }
 
-/// Counts a request as long as it is answered, its body included.
-pub struct Open {
+/// Counts a request as open until it is dropped, at the end of the answer's body.
+pub struct OpenRequest {
     shared: Arc<Shared>,
 }
 
-/// What the servers listen at.
+/// Listening sockets of the servers.
 pub struct Listeners {
-    /// For callers.
+    /// Socket for callers.
     pub callers: TcpListener,
-    /// For the balancer's health check.
+    /// Socket for the load balancer's health checks.
     pub operators: TcpListener,
-    /// For readers of metrics.
+    /// Socket on which the metrics are served; `None` where they aren't served.
     pub metrics: Option<TcpListener>,
 }
 
-/// Starts to serve.
+/// Starts the servers.
 pub fn spawn(listeners: Listeners, context: Arc<call::Context>, metrics: Arc<Gateway>) -> Handle {
-    let (closing, _) = watch::channel(false);
-    let shared =
-        Arc::new(Shared { context, closing, open: AtomicUsize::new(0), ended: Notify::new() });
+    let (is_closing, _) = watch::channel(false);
+    let shared = Arc::new(Shared {
+        context,
+        is_closing,
+        open_requests: AtomicUsize::new(0),
+        became_idle: Notify::new(),
+    });
     let (calls, checks) = (Arc::clone(&shared), Arc::clone(&shared));
-    tokio::spawn(accept(listeners.callers, move |stream| serve(Arc::clone(&calls), stream)));
-    tokio::spawn(accept(listeners.operators, move |stream| check(Arc::clone(&checks), stream)));
+    tokio::spawn(accept(listeners.callers, move |stream| serve_caller(Arc::clone(&calls), stream)));
+    tokio::spawn(accept(listeners.operators, move |stream| {
+        serve_health_check(Arc::clone(&checks), stream)
+    }));
     if let Some(listener) = listeners.metrics {
-        tokio::spawn(accept(listener, move |stream| render(Arc::clone(&metrics), stream)));
+        tokio::spawn(accept(listener, move |stream| serve_metrics(Arc::clone(&metrics), stream)));
     }
     Handle { shared }
 }
 
 impl Handle {
-    /// Requests that are being answered.
-    pub fn open(&self) -> usize {
-        self.shared.open.load(Ordering::Relaxed)
+    /// Returns the number of requests that haven't ended.
+    pub fn open_requests(&self) -> usize {
+        self.shared.open_requests.load(Ordering::Relaxed)
     }
 
-    /// Closes connections that have no request, and each other after its answer.
+    /// Closes idle connections now, and each other connection after its current answer.
     pub fn close_idle(&self) {
-        self.shared.closing.send_replace(true);
+        self.shared.is_closing.send_replace(true);
     }
 
-    /// Waits until no request is left.
-    pub async fn ended(&self) {
+    /// Waits until no request is open.
+    pub async fn wait_until_idle(&self) {
         loop {
-            let ended = self.shared.ended.notified();
-            if self.open() == 0 {
+            let became_idle = self.shared.became_idle.notified();
+            if self.open_requests() == 0 {
                 return;
             }
-            ended.await;
+            became_idle.await;
         }
     }
 }
 
 impl Shared {
-    fn enter(self: &Arc<Shared>) -> Open {
-        self.open.fetch_add(1, Ordering::Relaxed);
-        Open { shared: Arc::clone(self) }
+    fn count_request(self: &Arc<Shared>) -> OpenRequest {
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
+        OpenRequest { shared: Arc::clone(self) }
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        if self.shared.open.fetch_sub(1, Ordering::Relaxed) == 1 {
-            self.shared.ended.notify_waiters();
+        if self.shared.open_requests.fetch_sub(1, Ordering::Relaxed) == 1 {
+            self.shared.became_idle.notify_waiters();
         }
     }
 }
@@ -126,21 +136,23 @@
             }
             Err(error) => {
                 warn!(%error, "a connection can't be taken");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve(shared: Arc<Shared>, stream: TcpStream) {
-    // A connection that is gone already shows itself at its first use.
+/// Serves the requests of one connection of a caller.
+async fn serve_caller(shared: Arc<Shared>, stream: TcpStream) {
+    // This fails only where the connection is closed, and then so does its first use.
     let _ = stream.set_nodelay(true);
-    let uses = Arc::new(AtomicUsize::new(0));
-    let (answering, used) = (Arc::clone(&shared), Arc::clone(&uses));
+    // Number of requests since the last idle timeout, shared with the service.
+    let requests = Arc::new(AtomicUsize::new(0));
+    let (service_shared, service_requests) = (Arc::clone(&shared), Arc::clone(&requests));
     let service = service_fn(move |request: Request<Incoming>| {
-        used.fetch_add(1, Ordering::Relaxed);
-        let open = answering.enter();
-        let context = Arc::clone(&answering.context);
+        service_requests.fetch_add(1, Ordering::Relaxed);
+        let open = service_shared.count_request();
+        let context = Arc::clone(&service_shared.context);
         async move { Ok::<Response<Body>, Infallible>(call::serve(context, request, open).await) }
     });
     let connection = http1::Builder::new()
@@ -148,29 +160,32 @@
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut closing = shared.closing.subscribe();
-    let mut seen = 0;
-    let idle = || shared.context.control.plan().map_or(IDLE, |plan| plan.idle_timeout) + IDLE_EXTRA;
+    let mut is_closing = shared.is_closing.subscribe();
+    let mut previous_requests = 0;
+    let idle_timeout = || {
+        shared.context.control.plan().map_or(DEFAULT_IDLE_TIMEOUT, |plan| plan.idle_timeout)
+            + IDLE_TIMEOUT_MARGIN
+    };
     loop {
         tokio::select! {
-            // However it ends, its request is dropped, and so given up.
+            // Where the connection breaks off, its request is dropped and thereby cancelled.
             _ = connection.as_mut() => return,
-            () = closed(&mut closing) => {
-                // A connection that has just come brings a request, which is answered.
-                if uses.load(Ordering::Relaxed) == 0 && seen == 0 {
+            () = wait_for_closing(&mut is_closing) => {
+                // The first request of a connection that was just accepted may still be in transit.
+                if requests.load(Ordering::Relaxed) == 0 && previous_requests == 0 {
                     tokio::select! {
                         _ = connection.as_mut() => return,
-                        () = sleep(FIRST) => {}
+                        () = sleep(FIRST_REQUEST_TIMEOUT) => {}
                     }
                 }
                 break;
             }
-            () = sleep(idle()) => {
-                if seen == uses.swap(seen, Ordering::Relaxed) {
+            () = sleep(idle_timeout()) => {
+                if previous_requests == requests.swap(previous_requests, Ordering::Relaxed) {
                     break;
                 }
-                seen = 0;
-                uses.store(0, Ordering::Relaxed);
+                previous_requests = 0;
+                requests.store(0, Ordering::Relaxed);
             }
         }
     }
@@ -178,12 +193,14 @@
     let _ = connection.await;
 }
 
-async fn closed(closing: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the servers.
-    let _ = closing.wait_for(|&closing| closing).await;
+async fn wait_for_closing(is_closing: &mut watch::Receiver<bool>) {
+    // Waiting can't fail: the sender exists as long as the servers.
+    let _ = is_closing.wait_for(|&is_closing| is_closing).await;
 }
 
-async fn check(shared: Arc<Shared>, stream: TcpStream) {
+/// Serves the health checks of one connection: every request gets status 200 where the process is ready to
+/// receive requests, else 503.
+async fn serve_health_check(shared: Arc<Shared>, stream: TcpStream) {
     let service = service_fn(move |_: Request<Incoming>| {
         let ready = shared.context.control.is_ready();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -191,15 +208,16 @@
         *response.status_mut() = status;
         async move { Ok::<_, Infallible>(response) }
     });
-    // A check that breaks off is repeated by whoever asked.
+    // The load balancer repeats a check that fails.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn render(metrics: Arc<Gateway>, stream: TcpStream) {
+/// Serves the metrics to one connection: every request gets all of them.
+async fn serve_metrics(metrics: Arc<Gateway>, stream: TcpStream) {
     let service = service_fn(move |_: Request<Incoming>| {
         let response = Response::new(Full::new(Bytes::from(metrics.render())));
         async move { Ok::<_, Infallible>(response) }
     });
-    // A reader that breaks off comes again.
+    // A client whose connection breaks off reads the metrics again later.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry process of a deployment whose targets have no agent beside them: takes callers'
-//! requests, dispatches them straight to targets and relays the answers.
+//! The entry process for direct dispatch: it accepts callers' requests, sends them directly to targets,
+//! which need no agent, and relays the answers.
 //!
-//! One thread holds the control state and speaks to the other entry processes; another carries the
-//! traffic. How requests and answers are spelled is told by a [`Dialect`], where the configuration
-//! and the list of targets come from by a [`Feed`].
+//! The control thread owns the state of scheduling and communicates with the other entry processes; the
+//! traffic thread serves requests. A [`Dialect`] converts between HTTP messages and the types of this
+//! crate. A [`Feed`] reads the configuration and the list of targets.
 
 mod agents;
 mod call;
@@ -30,17 +30,18 @@
 use tokio::net::TcpListener;
 use tracing::info;
 
-/// A body that goes to a caller; an error breaks the connection off.
+/// Body of an answer to a caller; an error closes the connection before the answer is complete.
 pub type Body = UnsyncBoxBody<Bytes, Broken>;
 
 /// the answer broke off
 #[derive(Clone, Copy, Debug, Display, Error)]
 pub struct Broken;
 
-/// Reads the configuration and the targets, and feeds them to the control thread, on which it runs.
+/// Source of the configuration and of the list of targets: sends them to the control thread as events. The
+/// future runs on the control thread.
 pub type Feed = Box<dyn FnOnce(control::Handle) -> Pin<Box<dyn Future<Output = ()> + Send>> + Send>;
 
-/// Why the process can't run.
+/// Reason why the process can't start.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// can't listen at {0}: {1}
@@ -49,123 +50,127 @@
     Thread(io::Error),
 }
 
-/// What the process is told at its start.
+/// Settings of an entry process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name, for logs.
+    /// Name of the process in logs.
     pub name: String,
-    /// For callers.
+    /// Address at which the process listens for callers.
     pub callers: SocketAddr,
-    /// For the balancer's health check.
+    /// Address at which the process listens for the load balancer's health checks.
     pub operators: SocketAddr,
-    /// For readers of metrics, where there is such an address.
+    /// Address at which the process serves its metrics; `None` where it doesn't serve them.
     pub metrics: Option<SocketAddr>,
-    /// For other entry processes.
+    /// Address at which the process listens for other entry processes.
     pub peers: SocketAddr,
-    /// Other entry processes that may be alive.
+    /// Addresses of other entry processes that may be alive.
     pub seeds: Vec<SocketAddr>,
     /// Time from the request to stop until the process is killed.
     pub grace: Duration,
-    /// What the reducer is told.
+    /// Settings of the reducer of direct dispatch.
     pub direct: direct::Settings,
 }
 
-/// What a request says of itself.
+/// Parameters of a request that are read from its head.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Ask {
-    /// Its id, as its caller gave it.
+    /// Request ID that the caller sent.
     pub id: String,
-    /// Host name that it asks for.
+    /// Host name that the caller requests; selects the route together with the path.
     pub host: String,
-    /// The key that it bears.
+    /// API key that the caller sent; `None` for a request without one.
     pub key: Option<String>,
-    /// Time for which its caller waits.
+    /// Time for which the caller waits for the answer; `None` where the caller sent no deadline.
     pub patience: Option<Duration>,
-    /// Its tokens.
+    /// Token counts that the caller states; `None` where the request has none.
     pub tokens: Option<Tokens>,
-    /// Tokens of the answer that its caller expects.
+    /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
     pub expected: Option<u32>,
-    /// The event after which its answer goes on.
+    /// ID of the last event that the caller already received of a resumed stream; the answer contains only
+    /// later events. `None` for a stream from its beginning and for other answers.
     pub last_event: Option<String>,
 }
 
-/// A request that arrived whole.
+/// A request of which head and body were received completely.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its head.
+    /// Method, URI and headers of the request, as the caller sent them.
     pub head: request::Parts,
-    /// Its body.
+    /// Complete body of the request.
     pub body: Bytes,
-    /// What it says of itself.
+    /// Parameters that were read from the head.
     pub ask: Ask,
 }
 
-/// What the head of a target's answer says.
+/// Classification of a target's answer by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The answer to the request; it goes to the caller as it is.
+    /// The target ran the request; its answer is passed to the caller.
     Answer,
-    /// A failure with the target's mark, which goes to the caller unless the request is repeated.
+    /// The target ran the request and signed an error answer, which is passed to the caller unless the
+    /// request is dispatched again.
     Failure,
-    /// The target did not run the request.
+    /// The target rejected the request and states that it did not run it.
     NotRun,
-    /// Another target has the address, and did not run the request.
+    /// Another target now listens at the address; it rejected the request without running it.
     Replaced,
-    /// No proper answer to this request.
+    /// The answer wasn't made by the target for this request.
     Foreign,
 }
 
-/// Makes the request to a target, with the time that remains and the event to go on after.
+/// Builds the request to a target from the caller's request, the dispatch, the time until the deadline and
+/// the ID of the last event that the caller received; `None` where the caller received none.
 pub type Forward = fn(&Call, &Dispatch, Duration, Option<&str>) -> http::Request<Full<Bytes>>;
 
-/// How requests and answers are spelled.
+/// Conversion between HTTP messages and the types of this crate.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Reads the head of a caller's request; an error says what is wrong with it.
+    /// Reads the parameters of a caller's request; an error describes what is wrong and is sent to the
+    /// caller.
     pub read: fn(&request::Parts) -> Result<Ask, String>,
-    /// Makes the request to a target, with the time that remains and the event to go on after.
+    /// Builds the request to a target.
     pub forward: Forward,
-    /// Judges the head of a target's answer.
+    /// Classifies a target's answer to a request by its head.
     pub judge: fn(&response::Parts, &Call) -> Verdict,
-    /// Reads the rate limit, in requests a second, that a target's answer names; an error says what is
-    /// wrong with it.
+    /// Reads the rate limit, in requests per second, that a target's answer states; `None` where it states
+    /// none. An error describes why the limit can't be read.
     pub limit: fn(&response::Parts) -> Result<Option<f64>, String>,
-    /// Takes the headers out of a target's answer that concern its connection only.
+    /// Removes the headers from a target's answer that concern only the connection to the target.
     pub strip: fn(&mut response::Parts),
-    /// Makes an answer of our own.
+    /// Builds the error answer for a refused request, with the request ID where it is known.
     pub refuse: fn(&Refusal, Option<&str>) -> http::Response<Bytes>,
 }
 
-/// Where a process writes what it did.
+/// Destinations for the metrics and the evidence of a process.
 #[derive(Clone, Debug)]
 pub struct Records {
-    /// Counters and histograms.
+    /// Metrics of the process.
     pub metrics: Arc<Gateway>,
-    /// Evidence of each request.
+    /// Buffer for the evidence of each request.
     pub evidence: Buffer,
 }
 
-/// Where a process listens; differs from its settings where these take any free port.
+/// Addresses at which a process listens; they differ from its settings where these have port 0.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Addresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's health check.
+    /// Address for the load balancer's health checks.
     pub operators: SocketAddr,
-    /// For other entry processes.
+    /// Address for other entry processes.
     pub peers: SocketAddr,
 }
 
-/// A running process.
+/// Handle of a running entry process.
 pub struct Handle {
-    /// Where it listens.
+    /// Addresses at which the process listens.
     pub addresses: Addresses,
     control: control::Handle,
     ingress: ingress::Handle,
     grace: Duration,
 }
 
-/// Starts the process on the current `tokio` runtime, which becomes its traffic thread.
+/// Starts the process on the current `tokio` runtime, which serves the requests.
 pub async fn spawn(
     mut settings: Settings,
     dialect: Dialect,
@@ -182,15 +187,15 @@
     };
     let peers = listen(settings.peers).await?;
     let addresses = Addresses {
-        callers: local(&listeners.callers)?,
-        operators: local(&listeners.operators)?,
-        peers: local(&peers)?,
+        callers: local_address(&listeners.callers)?,
+        operators: local_address(&listeners.operators)?,
+        peers: local_address(&peers)?,
     };
     settings.direct.address = addresses.peers;
     let metrics = Arc::clone(&records.metrics);
     let control = control::spawn(&settings, peers, feed, records).map_err(Error::Thread)?;
     let context =
-        Arc::new(call::Context { control: control.clone(), dialect, targets: dispatch::open() });
+        Arc::new(call::Context { control: control.clone(), dialect, client: dispatch::open() });
     let ingress = ingress::spawn(listeners, context, metrics);
     let Addresses { callers, operators, peers } = &addresses;
     info!(name = settings.name, %callers, %operators, %peers, "listening");
@@ -201,44 +206,46 @@
     TcpListener::bind(address).await.map_err(|error| Error::Listen(address, error))
 }
 
-fn local(listener: &TcpListener) -> Result<SocketAddr, Error> {
+fn local_address(listener: &TcpListener) -> Result<SocketAddr, Error> {
     listener.local_addr().map_err(Error::Thread)
 }
 
-/// Time after the request to stop for which new requests are still taken: the balancer needs up to
-/// two seconds to send no more.
-const LAME: Duration = Duration::from_millis(2_500);
-/// Time in which the others hear that this process takes no more: three exchanges.
-const FAREWELL: Duration = Duration::from_millis(150);
-/// Time before the end of the grace in which the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(700);
+/// Time after the request to stop for which all new requests are still accepted: the load balancer needs up
+/// to two seconds to stop sending requests.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
+/// Time in which the other entry processes learn that this process accepts no more requests: three
+/// exchanges.
+const LEAVING_EXCHANGE_TIME: Duration = Duration::from_millis(150);
+/// Time between the end of the process and the end of its grace period.
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
 impl Handle {
-    /// Hears of entry processes that may be alive.
+    /// Adds addresses of entry processes that may be alive.
     pub fn introduce(&self, seeds: &[SocketAddr]) {
         self.control.introduce(seeds);
     }
 
-    /// Other entry processes that may be alive.
+    /// Returns the addresses of the other entry processes that may be alive.
     pub fn peers(&self) -> Vec<SocketAddr> {
         self.control.watch().borrow().peers.clone()
     }
 
-    /// Tells the balancer to send no more, finishes what is in progress, and ends.
+    /// Fails the load balancer's health checks, finishes the open requests as far as the grace period
+    /// allows, and stops.
     pub async fn drain(self) {
-        let end = tokio::time::Instant::now() + self.grace - MARGIN;
-        info!(open = self.ingress.open(), "leaving: the health check fails from now on");
-        self.control.lame();
+        let end = tokio::time::Instant::now() + self.grace - EXIT_MARGIN;
+        info!(open = self.ingress.open_requests(), "leaving: the health check fails from now on");
+        self.control.fail_health_checks();
         self.ingress.close_idle();
-        tokio::time::sleep(LAME).await;
-        info!(open = self.ingress.open(), "draining: what may not end in time is refused");
+        tokio::time::sleep(BALANCER_DELAY).await;
+        info!(open = self.ingress.open_requests(), "draining: what may not end in time is refused");
         self.control.send(direct::Event::Drain { end: end.into_std() });
-        let ended = tokio::time::timeout_at(end, self.ingress.ended()).await;
-        // Nothing is taken from here on; what came just before is finished too.
+        let ended = tokio::time::timeout_at(end, self.ingress.wait_until_idle()).await;
+        // Refuses all requests from here on. Requests that arrived just before are finished too.
         self.control.send(direct::Event::Drain { end: std::time::Instant::now() });
-        tokio::time::sleep(FAREWELL).await;
-        let ended = ended.and(tokio::time::timeout_at(end, self.ingress.ended()).await);
-        self.control.close().await;
-        info!(open = self.ingress.open(), whole = ended.is_ok(), "stopped");
+        tokio::time::sleep(LEAVING_EXCHANGE_TIME).await;
+        let ended = ended.and(tokio::time::timeout_at(end, self.ingress.wait_until_idle()).await);
+        self.control.record_close().await;
+        info!(open = self.ingress.open_requests(), whole = ended.is_ok(), "stopped");
     }
 }
--- a/components/gateway/src/links.rs
+++ b/components/gateway/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections to other entry processes, and the calls that run over them.
+//! Connections to other entry processes, and the calls in flight on them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,95 +13,106 @@
 use tracing::error;
 
 use crate::{
-    peer::{self, Answer, PeerClient, Told},
+    peer::{self, ExchangeAnswer, ExchangeRequest, PeerClient},
     record,
     relay::{self, Fetched},
 };
 
-/// What became of a call to another process.
-pub enum Done {
-    /// An exchange; nothing where it wasn't answered.
-    Exchanged(SocketAddr, Option<(PeerClient, Answer)>),
-    /// A fetch.
-    Fetched(SocketAddr, Topic, Result<Fetched, relay::Error>),
+/// Result of a call to the process at an address.
+pub enum CallResult {
+    /// Result of an exchange; `None` where it wasn't answered, else the client for the next call and the
+    /// answer.
+    Exchange(SocketAddr, Option<(PeerClient, ExchangeAnswer)>),
+    /// Result of a fetch of a topic.
+    Fetch(SocketAddr, Topic, Result<Fetched, relay::Error>),
 }
 
-/// Takes in what became of a call.
-pub type Report = Arc<dyn Fn(Done) + Send + Sync>;
+/// Callback that receives the result of a call.
+pub type OnCallEnded = Arc<dyn Fn(CallResult) + Send + Sync>;
 
+/// Connection to another process, and the state of exchanges with that process.
 #[derive(Default)]
 struct Link {
+    /// Client of the open connection; `None` where there is none.
     client: Option<PeerClient>,
-    busy: bool,
-    /// Since when its exchanges are not answered.
-    silent: Option<Instant>,
+    /// Whether an exchange is in flight.
+    is_exchanging: bool,
+    /// When the first of the latest unanswered exchanges ended; `None` while the last one was answered, or
+    /// none has ended.
+    unanswered_since: Option<Instant>,
 }
 
-/// Connections to all that may be alive.
+/// Connections to all other entry processes that may be alive.
 pub struct Links {
     links: HashMap<SocketAddr, Link>,
-    /// What was last given of each topic, and its version.
+    /// Version and packed data of each topic, as this process last packed it.
     packed: BTreeMap<Topic, (Position, Bytes)>,
-    report: Report,
+    on_call_ended: OnCallEnded,
     metrics: Arc<Gateway>,
 }
 
-/// Gives a process without connections.
-pub fn open(report: Report, metrics: Arc<Gateway>) -> Links {
-    Links { links: HashMap::new(), packed: BTreeMap::new(), report, metrics }
+/// Builds an empty set of connections.
+pub fn open(on_call_ended: OnCallEnded, metrics: Arc<Gateway>) -> Links {
+    Links { links: HashMap::new(), packed: BTreeMap::new(), on_call_ended, metrics }
 }
 
 impl Links {
-    /// Connections that are known.
+    /// Returns the number of other processes with which rows are exchanged, whether or not they answer.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Closes those to processes that are gone.
+    /// Closes the connections to all processes but the given ones.
     pub fn retain(&mut self, peers: &[SocketAddr]) {
         self.links.retain(|address, _| peers.contains(address));
     }
 
-    /// Begins an exchange, unless one with that process runs.
-    pub fn exchange(&mut self, address: SocketAddr, told: Told) {
+    /// Starts an exchange, unless one with the same process is in flight.
+    pub fn exchange(&mut self, address: SocketAddr, request: ExchangeRequest) {
         let link = self.links.entry(address).or_default();
-        if std::mem::replace(&mut link.busy, true) {
+        if std::mem::replace(&mut link.is_exchanging, true) {
             return;
         }
-        let (client, report) = (link.client.clone(), Arc::clone(&self.report));
+        let (client, on_call_ended) = (link.client.clone(), Arc::clone(&self.on_call_ended));
         tokio::spawn(async move {
-            let answer = peer::exchange(client, address, told).await;
-            report(Done::Exchanged(address, answer));
+            let result = peer::exchange(client, address, request).await;
+            on_call_ended(CallResult::Exchange(address, result));
         });
     }
 
-    /// Takes an exchange's end in; gives what it was answered.
-    pub fn exchanged(
+    /// Updates the connection with the result of an exchange; returns the answer, or `None` where there was
+    /// none.
+    pub fn end_exchange(
         &mut self,
         address: SocketAddr,
-        done: Option<(PeerClient, Answer)>,
-    ) -> Option<Answer> {
+        result: Option<(PeerClient, ExchangeAnswer)>,
+    ) -> Option<ExchangeAnswer> {
         let link = self.links.entry(address).or_default();
-        link.busy = false;
-        self.metrics.exchanged(done.is_some());
-        link.silent = record::exchanged(address, link.silent, done.is_some(), &self.metrics);
-        let (client, answer) = done.unzip();
+        link.is_exchanging = false;
+        self.metrics.exchanged(result.is_some());
+        link.unanswered_since =
+            record::log_exchange(address, link.unanswered_since, result.is_some(), &self.metrics);
+        let (client, answer) = result.unzip();
         link.client = client;
         answer
     }
 
-    /// Begins to fetch a topic.
+    /// Starts to fetch the data of a topic.
     pub fn fetch(&self, address: SocketAddr, topic: Topic) {
         let client = self.links.get(&address).and_then(|link| link.client.clone());
-        let report = Arc::clone(&self.report);
+        let on_call_ended = Arc::clone(&self.on_call_ended);
         tokio::spawn(async move {
-            report(Done::Fetched(address, topic, relay::fetch(client, address, topic).await));
+            on_call_ended(CallResult::Fetch(
+                address,
+                topic,
+                relay::fetch(client, address, topic).await,
+            ));
         });
     }
 
-    /// What is given to one that asks for a topic, of which this process offers so much; the news are
-    /// made only where they aren't packed yet.
-    pub fn give(
+    /// Returns the packed data of a topic, of which this process offers `version`; `None` where there is no
+    /// data. `news` is called only where that version isn't packed yet or the data contains ages.
+    pub fn pack(
         &mut self,
         topic: Topic,
         version: Position,
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entry processes tell each other, by `tarpc`.
+//! Calls between entry processes, by `tarpc`.
 
 use std::{
     collections::BTreeMap,
@@ -30,72 +30,77 @@
 
 use crate::{
     control::Handle,
-    relay::{self, Piece},
+    relay::{self, Part},
 };
 
-/// Longest wait for a connection or an answer; a peer that takes longer isn't current.
-const WAIT: Duration = Duration::from_millis(400);
+/// Timeout of establishing a connection and of an exchange; the row of a peer that takes longer would be
+/// stale. Also the pause after a connection couldn't be accepted.
+const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What the asking process tells.
+/// Request of an exchange between two entry processes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Told {
-    /// Its own row, or all that it knows.
+pub struct ExchangeRequest {
+    /// Row of the sender, followed with `all` by the last rows of all processes that it knows.
     pub rows: Vec<Row>,
-    /// Whether it wants all rows.
+    /// Whether the sender requests all rows too.
     pub all: bool,
-    /// What it has of the configuration and the targets.
+    /// Versions of the data that the sender has.
     pub offer: Offer,
 }
 
-/// What it is answered.
+/// Answer of an exchange between two entry processes.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Answer {
-    /// The own row, or all that are known.
+pub struct ExchangeAnswer {
+    /// Row of the answering process, followed by the last rows of all processes that it knows where these
+    /// were requested.
     pub rows: Vec<Row>,
-    /// What is here of the configuration and the targets.
+    /// Versions of the data that the answering process has.
     pub offer: Offer,
 }
 
-/// Calls that an entry process serves to others.
+/// Calls that an entry process serves to the others.
 #[tarpc::service]
 pub trait Peer {
-    /// Takes rows and an offer in and gives the own row, or all that are known, and an offer.
-    async fn exchange(told: Told) -> Answer;
+    /// Processes the rows and the offer of the caller; returns those of this process.
+    async fn exchange(request: ExchangeRequest) -> ExchangeAnswer;
 
-    /// Gives what follows the first so many bytes of a topic; nothing where it isn't offered.
-    async fn piece(topic: Topic, from: u64) -> Option<Piece>;
+    /// Returns the part of a topic's packed data that begins at byte `from`; `None` where this process
+    /// doesn't offer the topic or has no such part. All parts are of the data that was packed when the first
+    /// one was requested on the same connection.
+    async fn part(topic: Topic, from: u64) -> Option<Part>;
 }
 
-/// What one connection is served.
+/// Server of one connection.
 #[derive(Clone)]
 struct Server {
     control: Handle,
-    /// What is being given to it, so that all pieces are of one version.
-    giving: Arc<Mutex<BTreeMap<Topic, Bytes>>>,
+    /// Packed data of the topics that are being sent on the connection, kept until the last part so that all
+    /// parts are of one version.
+    sending: Arc<Mutex<BTreeMap<Topic, Bytes>>>,
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, told: Told) -> Answer {
-        self.control.exchange(told).await
+    async fn exchange(self, _: Context, request: ExchangeRequest) -> ExchangeAnswer {
+        self.control.exchange(request).await
     }
 
-    async fn piece(self, _: Context, topic: Topic, from: u64) -> Option<Piece> {
+    async fn part(self, _: Context, topic: Topic, from: u64) -> Option<Part> {
         if from == 0 {
-            let packed = self.control.give(topic).await?;
-            self.giving().insert(topic, packed);
+            let packed = self.control.pack(topic).await?;
+            self.sending().insert(topic, packed);
         }
-        let mut giving = self.giving();
-        let piece = relay::piece(giving.get(&topic)?, from)?;
-        if from + piece.bytes.len() as u64 == piece.whole {
-            giving.remove(&topic);
+        let mut sending = self.sending();
+        let part = relay::part(sending.get(&topic)?, from)?;
+        if from + part.bytes.len() as u64 == part.whole {
+            sending.remove(&topic);
         }
-        Some(piece)
+        Some(part)
     }
 }
 
 impl Server {
-    fn giving(&self) -> MutexGuard<'_, BTreeMap<Topic, Bytes>> {
-        self.giving.lock().unwrap_or_else(PoisonError::into_inner)
+    fn sending(&self) -> MutexGuard<'_, BTreeMap<Topic, Bytes>> {
+        self.sending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -107,15 +112,15 @@
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     warn!(%error, "an entry process's connection can't be taken");
-                    sleep(WAIT).await;
+                    sleep(TIMEOUT).await;
                     continue;
                 }
             };
-            // A connection that is gone already shows itself at its first use.
+            // This fails only where the connection is closed, and then so does its first use.
             let _ = stream.set_nodelay(true);
             let framed = LengthDelimitedCodec::builder().new_framed(stream);
             let transport = serde_transport::new(framed, Bincode::default());
-            let server = Server { control: control.clone(), giving: Arc::default() };
+            let server = Server { control: control.clone(), sending: Arc::default() };
             let calls = BaseChannel::with_defaults(transport).execute(server.serve());
             tokio::spawn(calls.for_each(|call| {
                 tokio::spawn(call);
@@ -125,30 +130,32 @@
     });
 }
 
-/// Exchanges rows with one process, by a new connection where none is open.
+/// Exchanges rows and offers with the process at an address, by a new connection where `client` is `None`.
+/// Returns the client and the answer, or `None` where the process didn't answer within the timeout.
 pub async fn exchange(
     client: Option<PeerClient>,
     address: SocketAddr,
-    told: Told,
-) -> Option<(PeerClient, Answer)> {
+    request: ExchangeRequest,
+) -> Option<(PeerClient, ExchangeAnswer)> {
     let client = match client {
         Some(client) => client,
         None => connect(address).await?,
     };
     let mut context = context::current();
-    context.deadline = Instant::now() + WAIT;
-    let answer = client.exchange(context, told).await.ok()?;
+    context.deadline = Instant::now() + TIMEOUT;
+    let answer = client.exchange(context, request).await.ok()?;
     Some((client, answer))
 }
 
-/// Opens a connection to a process.
+/// Connects to the process at an address; returns `None` where that fails.
 pub async fn connect(address: SocketAddr) -> Option<PeerClient> {
     let connecting = serde_transport::tcp::connect(address, Bincode::default);
-    let transport = timeout(WAIT, connecting).await.ok()?.ok()?;
+    let transport = timeout(TIMEOUT, connecting).await.ok()?.ok()?;
     transport.get_ref().set_nodelay(true).ok()?;
     let NewClient { client, dispatch } = PeerClient::new(client::Config::default(), transport);
     tokio::spawn(async move {
-        // However the connection ends, the next exchange opens another.
+        // The error isn't needed: once the connection has ended, an exchange fails and the next one opens a
+        // new connection.
         let _ = dispatch.await;
     });
     Some(client)
--- a/components/gateway/src/proof.rs
+++ b/components/gateway/src/proof.rs
@@ -14,34 +14,38 @@
 use scheduler::direct::{self, Refusal, Ticket};
 use uuid::Uuid;
 
-/// Writes records; a request has one at its end, and so has each dispatch.
+/// Writes records of evidence: one at the end of each request and of each dispatch, and one each time the
+/// process is ordered to drain or ends.
 #[derive(Debug)]
 pub struct Recorder {
     buffer: Buffer,
-    open: HashMap<Ticket, Open>,
+    open_requests: HashMap<Ticket, OpenRequest>,
 }
 
+/// Evidence of a request that hasn't ended.
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
+    /// Record to be written at the end of the request, as far as it is known.
     request: Request,
-    /// When the dispatch began that hasn't ended.
+    /// Start of the dispatch in flight; `None` between dispatches.
     started: Option<SystemTime>,
+    /// Digest of the complete answer; `None` before it is known.
     digest: Option<AnswerDigest>,
 }
 
-/// The id under which a caller's request stands in the evidence.
+/// Returns the ID of a request in the evidence, derived from the ID that the caller sent.
 pub fn request_id(id: &str) -> RequestId {
     Uuid::new_v5(&Uuid::NAMESPACE_OID, id.as_bytes())
 }
 
-/// Gives a recorder that writes to a buffer.
+/// Builds a recorder that writes to a buffer.
 pub fn open(buffer: Buffer) -> Recorder {
-    Recorder { buffer, open: HashMap::new() }
+    Recorder { buffer, open_requests: HashMap::new() }
 }
 
 impl Recorder {
-    /// A request arrived.
-    pub fn arrived(&mut self, ticket: Ticket, id: &str) {
+    /// Starts the record of a request that was received.
+    pub fn begin_request(&mut self, ticket: Ticket, id: &str) {
         let request = Request {
             request: request_id(id),
             account: String::new(),
@@ -52,12 +56,12 @@
             starts: Vec::new(),
             outcome: Outcome::Abandoned,
         };
-        self.open.insert(ticket, Open { request, started: None, digest: None });
+        self.open_requests.insert(ticket, OpenRequest { request, started: None, digest: None });
     }
 
-    /// It was dispatched.
-    pub fn started(&mut self, dispatch: &direct::Dispatch) {
-        let Some(open) = self.open.get_mut(&dispatch.ticket) else {
+    /// Adds the start of a dispatch to the record of its request.
+    pub fn begin_dispatch(&mut self, dispatch: &direct::Dispatch) {
+        let Some(open) = self.open_requests.get_mut(&dispatch.ticket) else {
             return;
         };
         open.started = Some(SystemTime::now());
@@ -69,16 +73,16 @@
             .push(Start { attempt: dispatch.attempt, target: dispatch.target.clone() });
     }
 
-    /// What went to its caller has this digest.
-    pub fn answered(&mut self, ticket: Ticket, digest: AnswerDigest) {
-        if let Some(open) = self.open.get_mut(&ticket) {
+    /// Stores the digest of the complete answer to a request.
+    pub fn set_answer_digest(&mut self, ticket: Ticket, digest: AnswerDigest) {
+        if let Some(open) = self.open_requests.get_mut(&ticket) {
             open.digest = Some(digest);
         }
     }
 
-    /// A dispatch ended.
-    pub fn ran(&mut self, ticket: Ticket, outcome: direct::Outcome) {
-        let Some(open) = self.open.get_mut(&ticket) else {
+    /// Writes the record of a dispatch that ended, and that of the request where its answer is complete.
+    pub fn end_dispatch(&mut self, ticket: Ticket, outcome: direct::Outcome) {
+        let Some(open) = self.open_requests.get_mut(&ticket) else {
             return;
         };
         let ran = match outcome {
@@ -87,7 +91,7 @@
             _ => Ran::NotRun,
         };
         let digest = open.digest.filter(|_| outcome == direct::Outcome::Completed);
-        let run = open.run(ran, digest);
+        let run = open.end_run(ran, digest);
         self.buffer.push(SystemTime::now(), run);
         if outcome == direct::Outcome::Completed {
             let digest = open.digest.unwrap_or_default();
@@ -95,57 +99,60 @@
         }
     }
 
-    /// It was refused.
-    pub fn refused(&mut self, ticket: Ticket, refusal: &Refusal) {
+    /// Writes the record of a request that was refused.
+    pub fn record_refusal(&mut self, ticket: Ticket, refusal: &Refusal) {
         let ran = if refusal.not_run { Ran::NotRun } else { Ran::MayHaveRun };
         let reason = reason(refusal.reason);
         self.end(ticket, Outcome::Refused { reason, ran, left_waiting: None });
     }
 
-    /// Its caller got the failure that a target answered with.
-    pub fn passed(&mut self, ticket: Ticket) {
+    /// Writes the record of a request whose caller got the error answer of a target.
+    pub fn record_passed_failure(&mut self, ticket: Ticket) {
         let reason = Reason::TargetLost;
         self.end(ticket, Outcome::Refused { reason, ran: Ran::Yes, left_waiting: None });
     }
 
-    /// Its caller left.
-    pub fn left(&mut self, ticket: Ticket) {
-        if let Some(open) = self.open.get_mut(&ticket)
+    /// Writes the records of a request whose caller disconnected and of the dispatch in flight.
+    pub fn record_caller_disconnected(&mut self, ticket: Ticket) {
+        if let Some(open) = self.open_requests.get_mut(&ticket)
             && open.started.is_some()
         {
-            let run = open.run(Ran::MayHaveRun, None);
+            let run = open.end_run(Ran::MayHaveRun, None);
             self.buffer.push(SystemTime::now(), run);
         }
         self.end(ticket, Outcome::Abandoned);
     }
 
-    /// The process takes no new work.
-    pub fn draining(&self) {
+    /// Writes the record that the process begins to drain.
+    pub fn record_draining(&self) {
         self.buffer.push(SystemTime::now(), Fact::Draining);
     }
 
-    /// The process ends.
-    pub fn closed(&self) {
-        let open = u32::try_from(self.open.len()).unwrap_or(u32::MAX);
+    /// Writes the record that the process ends, with the number of requests that haven't ended.
+    pub fn record_close(&self) {
+        let open = u32::try_from(self.open_requests.len()).unwrap_or(u32::MAX);
         self.buffer.push(SystemTime::now(), Fact::Closed { open });
     }
 
+    /// Writes the record of a request with its outcome.
     fn end(&mut self, ticket: Ticket, outcome: Outcome) {
-        if let Some(open) = self.open.remove(&ticket) {
+        if let Some(open) = self.open_requests.remove(&ticket) {
             let request = Request { outcome, ..open.request };
             self.buffer.push(SystemTime::now(), Fact::Request(request));
         }
     }
 }
 
-impl Open {
-    fn run(&mut self, ran: Ran, digest: Option<AnswerDigest>) -> Fact {
+impl OpenRequest {
+    /// Ends the dispatch in flight and returns its record.
+    fn end_run(&mut self, ran: Ran, digest: Option<AnswerDigest>) -> Fact {
         let attempt = self.request.starts.last().map_or(0, |start| start.attempt);
         let started = self.started.take().unwrap_or(self.request.arrived);
         Fact::Run(Run { id: Id { request: self.request.request, attempt }, started, ran, digest })
     }
 }
 
+/// Returns the reason of a refusal as it is written to the evidence.
 fn reason(reason: direct::RefusalReason) -> Reason {
     match reason {
         direct::RefusalReason::NotReady => Reason::NotReady,
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! The log of decisions: one line for each.
+//! Log lines and metrics about the decisions of the reducer and about calls to other entry processes.
 
 use std::{
     net::SocketAddr,
@@ -15,8 +15,8 @@
 
 use crate::relay::{self, Fetched};
 
-/// Logs what the reducer decided.
-pub fn decided(state: &State, at: Now, effect: &Effect) {
+/// Logs an effect that the reducer returned, unless the effect is logged elsewhere or not at all.
+pub fn log_effect(state: &State, at: Now, effect: &Effect) {
     let now = at.steady;
     match effect {
         Effect::Dispatch(dispatch) => {
@@ -50,19 +50,21 @@
                 info!(request = view.id, to = target, after_ms, "leaves its silent target");
             }
         }
-        Effect::Probe { target, .. } => info!(to = target, "asked whether it takes connections"),
+        Effect::Probe { target, .. } => {
+            info!(to = target, "asked whether it takes connections")
+        }
         Effect::Fetch { .. }
         | Effect::PassFailure { .. }
         | Effect::Refuse { .. }
         | Effect::Reserve(_)
         | Effect::WithdrawReservation { .. } => {}
-        Effect::Log(LogEntry::FreshnessChanged(false)) => outdated(state, at),
-        Effect::Log(note) => noted(note),
+        Effect::Log(LogEntry::FreshnessChanged(false)) => log_outdated(state, at),
+        Effect::Log(entry) => log_entry(entry),
     }
 }
 
-/// Counts what the reducer decided.
-pub fn count(state: &State, now: Instant, metrics: &Gateway, effect: &Effect) {
+/// Updates the metrics by an effect that the reducer returned.
+pub fn count_effect(state: &State, now: Instant, metrics: &Gateway, effect: &Effect) {
     match effect {
         Effect::Dispatch(dispatch) => {
             if let Some(view) =
@@ -88,9 +90,9 @@
         }
         Effect::Log(LogEntry::TargetsChanged { ready, .. }) => {
             metrics.targets.set(i64::try_from(*ready).unwrap_or(i64::MAX));
-            limited(state, metrics);
+            set_limited_targets(state, metrics);
         }
-        Effect::Log(LogEntry::RateLimitChanged { .. }) => limited(state, metrics),
+        Effect::Log(LogEntry::RateLimitChanged { .. }) => set_limited_targets(state, metrics),
         Effect::Log(
             LogEntry::Crashed { .. }
             | LogEntry::Quarantined(_)
@@ -106,12 +108,12 @@
     }
 }
 
-fn limited(state: &State, metrics: &Gateway) {
+fn set_limited_targets(state: &State, metrics: &Gateway) {
     metrics.limited.set(i64::try_from(state.limited_targets()).unwrap_or(i64::MAX));
 }
 
-/// Logs that a target is silent while its answer is waited for.
-pub fn quiet(view: &DispatchView<'_>, begun: bool) {
+/// Logs that the target of a dispatch is unresponsive; the dispatch still waits for the answer.
+pub fn log_unresponsive(view: &DispatchView<'_>, begun: bool) {
     info!(
         request = view.id,
         begun,
@@ -121,17 +123,17 @@
     );
 }
 
-/// Logs that a silent target goes on.
-pub fn spoke(view: &DispatchView<'_>) {
+/// Logs that the unresponsive target of a dispatch continues its answer.
+pub fn log_resumed(view: &DispatchView<'_>) {
     let after_ms = millis(view.running_for);
     info!(request = view.id, attempt = view.attempt, after_ms, "its silent target goes on");
 }
 
 /// Logs the end of a dispatch.
-pub fn ended(view: &DispatchView<'_>, outcome: Outcome, begun: bool, events: u32) {
+pub fn log_dispatch_ended(view: &DispatchView<'_>, outcome: Outcome, begun: bool, events: u32) {
     info!(
         request = view.id,
-        outcome = name(outcome),
+        outcome = outcome_name(outcome),
         begun,
         events,
         attempt = view.attempt,
@@ -142,8 +144,8 @@
     );
 }
 
-/// Name of an outcome in logs and metrics.
-pub fn name(outcome: Outcome) -> &'static str {
+/// Returns the name of an outcome in logs and metrics.
+pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Completed => "done",
         Outcome::Rejected => "rejected",
@@ -157,7 +159,7 @@
     }
 }
 
-/// Name of a reason in logs and metrics.
+/// Returns the name of a reason in logs, metrics and answers to callers.
 pub fn reason(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::NotReady => "not_ready",
@@ -174,8 +176,9 @@
     }
 }
 
-/// Logs a refusal with the id that the caller gave.
-pub fn refused(id: &str, refusal: &Refusal, context: &RefusalContext, open: usize) {
+/// Logs the refusal of the request with the ID that its caller sent. `open` is the number of requests of this
+/// process that haven't ended.
+pub fn log_refusal(id: &str, refusal: &Refusal, context: &RefusalContext, open: usize) {
     let (shortage, fits) = (refusal.shortage, context.fits);
     info!(
         request = id,
@@ -211,25 +214,27 @@
     );
 }
 
-/// Logs what a fetch from another process gave.
-pub fn fetched(peer: SocketAddr, topic: Topic, fetched: &Result<Fetched, relay::Error>) {
+/// Logs the result of a fetch from another entry process.
+pub fn log_fetch(peer: SocketAddr, topic: Topic, result: &Result<Fetched, relay::Error>) {
     let topic = topic.name();
-    match fetched {
-        Ok(Fetched { bytes, took, .. }) => {
-            info!(%peer, topic, bytes, took_ms = millis(*took), "fetched from an entry process");
+    match result {
+        Ok(Fetched { bytes, duration, .. }) => {
+            info!(%peer, topic, bytes, took_ms = millis(*duration), "fetched from an entry process");
         }
         Err(error) => warn!(%peer, topic, %error, "nothing fetched from an entry process"),
     }
 }
 
-/// Logs that another process no longer answers, or does again; gives since when it doesn't.
-pub fn exchanged(
+/// Logs that another entry process stopped answering exchanges or answers again. `unanswered_since` is the
+/// time of the first exchange that it left unanswered, and `None` where it answered the last one; returns
+/// that time after this exchange.
+pub fn log_exchange(
     peer: SocketAddr,
-    silent: Option<Instant>,
+    unanswered_since: Option<Instant>,
     answered: bool,
     metrics: &Gateway,
 ) -> Option<Instant> {
-    match (silent, answered) {
+    match (unanswered_since, answered) {
         (None, false) => {
             let row_bytes = metrics.row_bytes.get();
             info!(%peer, row_bytes, "an entry process doesn't answer");
@@ -239,10 +244,11 @@
         }
         _ => {}
     }
-    if answered { None } else { silent.or_else(|| Some(Instant::now())) }
+    if answered { None } else { unanswered_since.or_else(|| Some(Instant::now())) }
 }
 
-fn stepped(step: &Step) {
+/// Logs a step of a rollout.
+fn log_rollout_step(step: &Step) {
     let (action, decided) = match step.action {
         Action::Try => ("try", None),
         Action::Move => ("move", None),
@@ -270,9 +276,9 @@
     );
 }
 
-/// Logs that no proof of the configuration came in time. The platform's last answers tell a host that
-/// is cut off or whose link is full from an outage of the platform.
-fn outdated(state: &State, now: Now) {
+/// Logs that the configuration may be out of date. The time of the platform's last answer to any entry process
+/// distinguishes an outage of the platform from a host that is partitioned or whose link is full.
+fn log_outdated(state: &State, now: Now) {
     let ages = state.ages(now);
     warn!(
         version = state.known().plan,
@@ -283,23 +289,27 @@
     );
 }
 
+/// Returns a time as whole milliseconds.
 fn millis(time: Duration) -> u64 {
     time.as_millis() as u64
 }
 
-/// A time in ms as whole microseconds.
+/// Converts a time in ms to whole microseconds.
 fn micros(millis: f64) -> u64 {
     (millis * 1_000.0) as u64
 }
 
-fn noted(note: &LogEntry) {
-    match note {
+/// Logs a change of the reducer's state.
+fn log_entry(entry: &LogEntry) {
+    match entry {
         LogEntry::ConfigurationChanged { version } => info!(version, "a configuration is in force"),
         LogEntry::TargetsChanged { ready, listed, kept, unordered } => {
             info!(ready, listed, kept, unordered, "the targets changed");
         }
-        LogEntry::FreshnessChanged(true) => info!("the configuration is current: keys count"),
-        // Logged with the ages that tell why.
+        LogEntry::FreshnessChanged(true) => {
+            info!("the configuration is current: keys count")
+        }
+        // Logged by `log_outdated`, with the ages on which the change was based.
         LogEntry::FreshnessChanged(false) => {}
         LogEntry::PeersChanged { known, expected, usable } => {
             info!(
@@ -316,7 +326,7 @@
         LogEntry::RateLimitChanged { target, per_second: None } => {
             info!(to = target, "a target names no rate limit any more");
         }
-        LogEntry::Rollout(step) => stepped(step),
+        LogEntry::Rollout(step) => log_rollout_step(step),
         LogEntry::Crashed { target, requests } => {
             info!(to = target, bodies = requests, "a target died while it ran requests");
         }
--- a/components/gateway/src/relay.rs
+++ b/components/gateway/src/relay.rs
@@ -1,7 +1,7 @@
-//! How what one process lacks comes over from another: packed, and in pieces.
+//! Transfer of data from one entry process to another, packed and in parts.
 //!
-//! A piece is answered in its own time, so a fetch goes on for as long as the other answers, however
-//! large the whole and however slow the link; and rows wait behind one piece only.
+//! Each part is requested by a call with its own timeout. So a fetch of any size succeeds on a slow link as
+//! long as the parts arrive in time, and an exchange of rows waits for at most one part in transit.
 
 use std::{
     io::{self, Read, Write},
@@ -19,50 +19,51 @@
 
 use crate::peer::{self, PeerClient};
 
-/// Bytes of a piece: 13 ms of a link of 10 Mbit/s. A link that leaves a fetch less than a piece in
-/// [`SILENCE`], a hundredth of those 10 Mbit/s, gives it nothing; larger pieces would take fewer round
-/// trips, 20 ms each between regions.
-const PIECE: usize = 16 << 10;
-/// Longest wait for a piece. A link that something else fills for so long is waited for: 0.8 s of
-/// 10 Mbit/s are 1 MB.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Most bytes that pieces may unpack to: five times a configuration of 43,000 client accounts.
-const UNPACKED_MAX: u64 = 64 << 20;
+/// Maximum size of a part in bytes, which takes 13 ms on a link of 10 Mbit/s. A fetch fails on a link that
+/// has less bandwidth for it than one part in [`PART_TIMEOUT`], a hundredth of those 10 Mbit/s. Larger parts
+/// would take fewer round trips, which take 20 ms each between regions, but need more bandwidth.
+const MAX_PART_BYTES: usize = 16 << 10;
+/// Timeout of the call for a part. It is long enough for a link that is filled by another transfer: 1 MB
+/// takes 0.8 s at 10 Mbit/s.
+const PART_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of unpacked data in bytes: five times a configuration of 43,000 client accounts.
+const MAX_UNPACKED_BYTES: u64 = 64 << 20;
 
-/// A part of what a process gives.
+/// A part of packed data.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Piece {
-    /// Bytes of the whole.
+pub struct Part {
+    /// Size in bytes of all packed data.
     pub whole: u64,
-    /// The bytes of this part; some, unless the whole is over.
+    /// Bytes of the part; empty only at the end of the packed data.
     pub bytes: Bytes,
 }
 
-/// What came of a fetch.
+/// Result of a successful fetch.
 #[derive(Clone, Debug)]
 pub struct Fetched {
-    /// What the other gave.
+    /// Data that the other process sent.
     pub news: News,
-    /// Bytes that came.
+    /// Size in bytes of the packed data.
     pub bytes: usize,
-    /// Time since it was asked for.
-    pub took: Duration,
+    /// Time from the start of the fetch to its end.
+    pub duration: Duration,
 }
 
-/// Why a fetch gave nothing.
+/// Reason why a fetch failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// no connection
-    Unreached,
+    NoConnection,
     /// no answer after {0} bytes: {1}
-    Silent(usize, RpcError),
+    NoAnswer(usize, RpcError),
     /// it has nothing to give after {0} bytes
-    Nothing(usize),
+    NoData(usize),
     /// what came can't be read: {0}
-    Unreadable(String),
+    Malformed(String),
 }
 
-/// Packs what is given, with a checksum: what routes and keys have in common makes 2,800 routes 38 KB.
+/// Packs data, with a checksum. Compression makes use of what routes and keys have in common: 2,800 routes
+/// are packed into 38 KB.
 pub fn pack(news: &News) -> Result<Bytes, io::Error> {
     let plain = postcard::to_stdvec(news).map_err(io::Error::other)?;
     let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -70,45 +71,46 @@
     packed.finish().map(Bytes::from)
 }
 
-/// The part of what is given that follows the first so many bytes.
-pub fn piece(packed: &Bytes, from: u64) -> Option<Piece> {
+/// Returns the part of packed data that begins at byte `from`; `None` where `from` is greater
+/// than the size of the data.
+pub fn part(packed: &Bytes, from: u64) -> Option<Part> {
     let from = usize::try_from(from).ok().filter(|&from| from <= packed.len())?;
-    let end = packed.len().min(from + PIECE);
-    Some(Piece { whole: packed.len() as u64, bytes: packed.slice(from..end) })
+    let end = packed.len().min(from + MAX_PART_BYTES);
+    Some(Part { whole: packed.len() as u64, bytes: packed.slice(from..end) })
 }
 
-/// Fetches a topic from a process, by a new connection where none is given.
+/// Fetches the data of a topic from the process at an address, by a new connection where `client` is `None`.
 pub async fn fetch(
     client: Option<PeerClient>,
     address: SocketAddr,
     topic: Topic,
 ) -> Result<Fetched, Error> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let client = match client {
         Some(client) => client,
-        None => peer::connect(address).await.ok_or(Error::Unreached)?,
+        None => peer::connect(address).await.ok_or(Error::NoConnection)?,
     };
     let mut packed = Vec::new();
     loop {
         let mut context = context::current();
-        context.deadline = Instant::now() + SILENCE;
-        let piece = client.piece(context, topic, packed.len() as u64).await;
-        let piece = piece.map_err(|error| Error::Silent(packed.len(), error))?;
-        let Piece { whole, bytes } = piece.ok_or(Error::Nothing(packed.len()))?;
+        context.deadline = Instant::now() + PART_TIMEOUT;
+        let part = client.part(context, topic, packed.len() as u64).await;
+        let part = part.map_err(|error| Error::NoAnswer(packed.len(), error))?;
+        let Part { whole, bytes } = part.ok_or(Error::NoData(packed.len()))?;
         packed.extend_from_slice(&bytes);
         if packed.len() as u64 >= whole {
             let news = unpack(&packed)?;
-            return Ok(Fetched { news, bytes: packed.len(), took: begun.elapsed() });
+            return Ok(Fetched { news, bytes: packed.len(), duration: start.elapsed() });
         }
         if bytes.is_empty() {
-            return Err(Error::Nothing(packed.len()));
+            return Err(Error::NoData(packed.len()));
         }
     }
 }
 
 fn unpack(packed: &[u8]) -> Result<News, Error> {
     let mut plain = Vec::new();
-    let mut decoder = ZlibDecoder::new(packed).take(UNPACKED_MAX);
-    decoder.read_to_end(&mut plain).map_err(|error| Error::Unreadable(error.to_string()))?;
-    postcard::from_bytes(&plain).map_err(|error| Error::Unreadable(error.to_string()))
+    let mut decoder = ZlibDecoder::new(packed).take(MAX_UNPACKED_BYTES);
+    decoder.read_to_end(&mut plain).map_err(|error| Error::Malformed(error.to_string()))?;
+    postcard::from_bytes(&plain).map_err(|error| Error::Malformed(error.to_string()))
 }
