--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -379,7 +379,13 @@
         };
         let view = self.state.dispatch_view(ticket, Instant::now());
         let after_ms = view.map(|view| view.waited.as_millis() as u64);
-        info!(request = id, dispatched = view.is_some(), events, after_ms, "its caller left");
+        info!(
+            request = id,
+            dispatched = view.is_some(),
+            events,
+            after_ms,
+            "the caller disconnected"
+        );
     }
 
     /// Logs and counts an event of a dispatch in flight; must run before the reducer processes the event.
@@ -510,7 +516,7 @@
     fn measure_row(&mut self, now: Instant) {
         match postcard::to_stdvec(&self.state.next_row(now)) {
             Ok(row) => drop(self.metrics.row_bytes.set(row.len() as i64)),
-            Err(error) => error!(%error, "the own row can't be packed"),
+            Err(error) => error!(%error, "can't serialize this process's row"),
         }
     }
 
--- a/components/gateway/src/ingress.rs
+++ b/components/gateway/src/ingress.rs
@@ -135,7 +135,7 @@
                 tokio::spawn(serve(stream));
             }
             Err(error) => {
-                warn!(%error, "a connection can't be taken");
+                warn!(%error, "can't accept a connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -33,7 +33,7 @@
 /// Body of an answer to a caller; an error closes the connection before the answer is complete.
 pub type Body = UnsyncBoxBody<Bytes, Broken>;
 
-/// the answer broke off
+/// the answer ended incomplete
 #[derive(Clone, Copy, Debug, Display, Error)]
 pub struct Broken;
 
@@ -238,7 +238,10 @@
         self.control.fail_health_checks();
         self.ingress.close_idle();
         tokio::time::sleep(BALANCER_DELAY).await;
-        info!(open = self.ingress.open_requests(), "draining: what may not end in time is refused");
+        info!(
+            open = self.ingress.open_requests(),
+            "draining: requests that may not end in time are refused"
+        );
         self.control.send(direct::Event::Drain { end: end.into_std() });
         let ended = tokio::time::timeout_at(end, self.ingress.wait_until_idle()).await;
         // Refuses all requests from here on. Requests that arrived just before are finished too.
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -111,7 +111,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(%error, "an entry process's connection can't be taken");
+                    warn!(%error, "can't accept a connection from an entry process");
                     sleep(TIMEOUT).await;
                     continue;
                 }
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -47,11 +47,16 @@
         Effect::CancelDispatch { ticket, target } => {
             if let Some(view) = state.dispatch_view(*ticket, now) {
                 let after_ms = millis(view.running_for);
-                info!(request = view.id, to = target, after_ms, "leaves its silent target");
+                info!(
+                    request = view.id,
+                    to = target,
+                    after_ms,
+                    "the dispatch is cancelled in favour of another target"
+                );
             }
         }
         Effect::Probe { target, .. } => {
-            info!(to = target, "asked whether it takes connections")
+            info!(to = target, "probing whether the target accepts connections")
         }
         Effect::Fetch { .. }
         | Effect::PassFailure { .. }
@@ -119,14 +124,14 @@
         begun,
         attempt = view.attempt,
         after_ms = millis(view.running_for),
-        "its target is silent"
+        "the target is unresponsive"
     );
 }
 
 /// Logs that the unresponsive target of a dispatch continues its answer.
 pub fn log_resumed(view: &DispatchView<'_>) {
     let after_ms = millis(view.running_for);
-    info!(request = view.id, attempt = view.attempt, after_ms, "its silent target goes on");
+    info!(request = view.id, attempt = view.attempt, after_ms, "the unresponsive target continues");
 }
 
 /// Logs the end of a dispatch.
@@ -272,7 +277,7 @@
         after_answers = step.after.answers,
         after_failed = step.after.failed,
         after_slow = step.after.slow,
-        "a roll-out goes on"
+        "a rollout made a step"
     );
 }
 
@@ -285,7 +290,7 @@
         proof_age_ms = ages.confirmed.map(millis),
         list_age_ms = state.list_age(now.steady).map(millis),
         answered_age_ms = ages.answered.map(millis),
-        "the configuration may be out of date: keys don't count"
+        "the configuration may be out of date: API keys aren't accepted"
     );
 }
 
@@ -307,7 +312,7 @@
             info!(ready, listed, kept, unordered, "the targets changed");
         }
         LogEntry::FreshnessChanged(true) => {
-            info!("the configuration is current: keys count")
+            info!("the configuration is current: API keys are accepted")
         }
         // Logged by `log_outdated`, with the ages on which the change was based.
         LogEntry::FreshnessChanged(false) => {}
@@ -316,23 +321,23 @@
                 heard = known,
                 expected,
                 together = usable,
-                "entry processes that are heard changed"
+                "the entry processes with current rows changed"
             );
         }
-        LogEntry::Restarted(target) => info!(to = target, "a target started again under its name"),
+        LogEntry::Restarted(target) => info!(to = target, "a target restarted under its name"),
         LogEntry::RateLimitChanged { target, per_second: Some(per_second) } => {
-            info!(to = target, per_second, "a target names a rate limit");
+            info!(to = target, per_second, "a target states a rate limit");
         }
         LogEntry::RateLimitChanged { target, per_second: None } => {
-            info!(to = target, "a target names no rate limit any more");
+            info!(to = target, "a target no longer states a rate limit");
         }
         LogEntry::Rollout(step) => log_rollout_step(step),
         LogEntry::Crashed { target, requests } => {
-            info!(to = target, bodies = requests, "a target died while it ran requests");
+            info!(to = target, bodies = requests, "a target crashed while it ran requests");
         }
         LogEntry::Quarantined(body) => {
             let body = body.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-            warn!(body, "a body is refused: targets died while they ran it");
+            warn!(body, "a body is refused: targets crashed while they ran it");
         }
     }
 }
--- a/components/gateway/src/relay.rs
+++ b/components/gateway/src/relay.rs
@@ -56,9 +56,9 @@
     NoConnection,
     /// no answer after {0} bytes: {1}
     NoAnswer(usize, RpcError),
-    /// it has nothing to give after {0} bytes
+    /// the other process sent no data after {0} bytes
     NoData(usize),
-    /// what came can't be read: {0}
+    /// the data can't be unpacked: {0}
     Malformed(String),
 }
 
