--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Dispatches a request again whose stream ended incomplete; returns the events after those that the caller has,
-    /// or an error where the stream can't be resumed.
+    /// Waits until the request is dispatched again after its stream ended incomplete; returns the events of
+    /// that dispatch, or an error where the stream can't be resumed.
     async fn resume(&mut self) -> Result<Box<EventStream>, Broken> {
         loop {
             let dispatch = self.next_dispatch().await.map_err(|_| Broken)?;
@@ -272,7 +272,9 @@
             select! {
                 biased;
                 // No other command is sent before the dispatch has ended.
-                Some(Command::CancelDispatch) = self.commands.recv() => return Err(Outcome::Unresponsive),
+                Some(Command::CancelDispatch) = self.commands.recv() => {
+                    return Err(Outcome::Unresponsive);
+                }
                 received = &mut received => {
                     if is_unresponsive && received.is_ok() {
                         self.context.control.send(Event::TargetResumed { ticket });
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -209,7 +209,8 @@
     Outcome::Incomplete { crashed: true }
 }
 
-/// Prevents the pool from using a connection for another request; the connection closes once the answer is dropped.
+/// Prevents the pool from using a connection for another request; the connection closes once the answer is
+/// dropped.
 fn close_after_use(connection: &CaptureConnection) {
     if let Some(connected) = connection.connection_metadata().as_ref() {
         connected.poison();
--- a/components/gateway/src/links.rs
+++ b/components/gateway/src/links.rs
@@ -131,7 +131,7 @@
                 Some(packed)
             }
             Err(error) => {
-                error!(%error, topic = topic.name(), ?version, "can't pack data for other entry processes");
+                error!(%error, topic = topic.name(), ?version, "can't pack data for a peer");
                 None
             }
         }
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -224,7 +224,8 @@
     let topic = topic.name();
     match result {
         Ok(Fetched { bytes, duration, .. }) => {
-            info!(%peer, topic, bytes, took_ms = millis(*duration), "fetched from an entry process");
+            let took_ms = millis(*duration);
+            info!(%peer, topic, bytes, took_ms, "fetched from an entry process");
         }
         Err(error) => warn!(%peer, topic, %error, "nothing fetched from an entry process"),
     }
@@ -281,8 +282,8 @@
     );
 }
 
-/// Logs that the configuration may be out of date. The time of the platform's last answer to any entry process
-/// distinguishes an outage of the platform from a host that is partitioned or whose link is full.
+/// Logs that the configuration may be out of date. The age of the platform's last answer to any entry
+/// process distinguishes an outage of the platform from a host that is partitioned or whose link is full.
 fn log_outdated(state: &State, now: Now) {
     let ages = state.ages(now);
     warn!(
