--- a/components/metrics/src/agent.rs
+++ b/components/metrics/src/agent.rs
@@ -1,4 +1,4 @@
-//! Metrics of an agent.
+//! Metrics of an agent, the process through which all requests to a target pass.
 
 use prometheus_client::{
     encoding::text::encode,
@@ -6,25 +6,25 @@
     registry::Registry,
 };
 
-/// Counters and gauges; every field may be changed from any thread.
+/// Counters and gauges of an agent; every field may be changed from any thread.
 #[derive(Debug)]
 pub struct Agent {
     registry: Registry,
-    /// Requests that run at the target or hold a grant.
+    /// Number of requests that run at the target or hold a grant.
     pub running: Gauge,
-    /// Reservations that wait.
+    /// Number of reservations that wait in the queue.
     pub waiting: Gauge,
-    /// Requests sent to the target.
+    /// Number of requests sent to the target since the start.
     pub dispatched: Counter,
-    /// Answers of the target that ended torn.
+    /// Number of the target's answers that ended before they were complete.
     pub torn: Counter,
-    /// Claims that are remembered.
+    /// Number of claims on idempotency keys that the agent stores.
     pub claims: Gauge,
-    /// Membership epoch that is applied.
+    /// Epoch of the membership that the agent has applied.
     pub epoch: Gauge,
 }
 
-/// Builds the metrics.
+/// Creates and registers the metrics of an agent.
 pub fn open() -> Agent {
     let mut registry = Registry::with_prefix("wagtailhill_agent");
     let running = Gauge::default();
@@ -43,7 +43,7 @@
 }
 
 impl Agent {
-    /// Writes all metrics in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string can't fail");
--- a/components/metrics/src/bridge.rs
+++ b/components/metrics/src/bridge.rs
@@ -1,9 +1,9 @@
-//! Sends the `slog` records of `dropshot` to `tracing`.
+//! Forwards log records of `dropshot`, which uses `slog`, to `tracing`.
 
 use slog::o;
 use tracing_slog::TracingSlogDrain;
 
-/// Gives a `slog` logger whose records go to the process's one log.
+/// Creates a `slog` logger whose records go to the log of the process.
 pub fn slog() -> slog::Logger {
     slog::Logger::root(TracingSlogDrain, o!())
 }
--- a/components/metrics/src/entry.rs
+++ b/components/metrics/src/entry.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry process.
+//! Metrics of an entry process in front of targets that have agents.
 
 use std::time::Duration;
 
@@ -15,85 +15,89 @@
 };
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Tier {
+struct TierLabel {
     tier: TierName,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Refused {
+struct RefusalLabels {
     reason: String,
     tier: TierName,
 }
 
-type Latency = Family<Tier, Histogram>;
+type LatencyByTier = Family<TierLabel, Histogram>;
 
-/// Counters and histograms; every method may be called from any thread.
+/// Counters, gauges and histograms of an entry process; every method may be called from any thread.
 #[derive(Debug)]
 pub struct Entry {
     registry: Registry,
-    whole_by_tier: Latency,
-    first_by_tier: Latency,
-    whole_by_account: Accounts,
-    refused: Family<Refused, Counter>,
-    torn: Family<Tier, Counter>,
-    /// Requests between arrival and the end of the answer.
+    answer_times: LatencyByTier,
+    first_byte_times: LatencyByTier,
+    account_answer_times: Accounts,
+    refusals: Family<RefusalLabels, Counter>,
+    torn_answers: Family<TierLabel, Counter>,
+    /// Number of requests that have arrived and whose answers haven't ended.
     pub open: Gauge,
-    /// Configuration offset that is applied.
+    /// Offset of the last configuration change that the process has applied.
     pub offset: Gauge,
 }
 
-/// Builds the metrics; at most `tracked_limit` client accounts get labels of their own.
-pub fn open(tracked_limit: usize) -> Entry {
+/// Creates and registers the metrics; at most `account_limit` client accounts get labels of their own.
+pub fn open(account_limit: usize) -> Entry {
     let mut registry = Registry::with_prefix("wagtailhill");
-    let account = "Time from arrival to the end of a whole answer, by client account";
-    let whole_by_account =
-        accounts::register(&mut registry, "account_answer_seconds", account, tracked_limit);
+    let account_help = "Time from arrival to the end of a whole answer, by client account";
+    let account_answer_times =
+        accounts::register(&mut registry, "account_answer_seconds", account_help, account_limit);
     let metrics = Entry {
-        whole_by_tier: Latency::new_with_constructor(histogram),
-        first_by_tier: Latency::new_with_constructor(histogram),
-        whole_by_account,
-        refused: Family::default(),
-        torn: Family::default(),
+        answer_times: LatencyByTier::new_with_constructor(histogram),
+        first_byte_times: LatencyByTier::new_with_constructor(histogram),
+        account_answer_times,
+        refusals: Family::default(),
+        torn_answers: Family::default(),
         open: Gauge::default(),
         offset: Gauge::default(),
         registry: Registry::default(),
     };
-    let whole = "Time from arrival to the end of a whole answer, by tier";
-    registry.register("answer_seconds", whole, metrics.whole_by_tier.clone());
-    let first = "Time from arrival to the first byte of the answer, by tier";
-    registry.register("first_byte_seconds", first, metrics.first_by_tier.clone());
-    registry.register("refusals", "Requests refused, by reason and tier", metrics.refused.clone());
-    registry.register("torn_answers", "Answers that ended torn, by tier", metrics.torn.clone());
+    let answer_help = "Time from arrival to the end of a whole answer, by tier";
+    registry.register("answer_seconds", answer_help, metrics.answer_times.clone());
+    let first_byte_help = "Time from arrival to the first byte of the answer, by tier";
+    registry.register("first_byte_seconds", first_byte_help, metrics.first_byte_times.clone());
+    registry.register("refusals", "Requests refused, by reason and tier", metrics.refusals.clone());
+    registry.register(
+        "torn_answers",
+        "Answers that ended torn, by tier",
+        metrics.torn_answers.clone(),
+    );
     registry.register("open_requests", "Requests in progress or waiting", metrics.open.clone());
-    let offset = "Configuration offset in force in this process";
-    registry.register("config_offset", offset, metrics.offset.clone());
+    let offset_help = "Configuration offset in force in this process";
+    registry.register("config_offset", offset_help, metrics.offset.clone());
     Entry { registry, ..metrics }
 }
 
 impl Entry {
-    /// Counts the first byte of an answer.
+    /// Records the time from arrival to the first byte of an answer.
     pub fn first_byte(&self, tier: &str, after: Duration) {
-        self.first_by_tier.get_or_create(&label(tier)).observe(after.as_secs_f64());
+        self.first_byte_times.get_or_create(&tier_label(tier)).observe(after.as_secs_f64());
     }
 
-    /// Counts a whole answer.
+    /// Records the time from arrival to the end of a complete answer.
     pub fn whole(&self, tier: &str, account: &str, after: Duration) {
-        self.whole_by_tier.get_or_create(&label(tier)).observe(after.as_secs_f64());
-        self.whole_by_account.observe(account, after);
+        self.answer_times.get_or_create(&tier_label(tier)).observe(after.as_secs_f64());
+        self.account_answer_times.observe(account, after);
     }
 
-    /// Counts a refusal; the tier is empty where it isn't known.
+    /// Counts a refused request; `tier` is empty where the tier isn't known.
     pub fn refused(&self, tier: &str, reason: Reason) {
-        let reason = serde_name(reason);
-        self.refused.get_or_create(&Refused { reason, tier: tier.to_owned() }).inc();
+        let reason = reason_label(reason);
+        self.refusals.get_or_create(&RefusalLabels { reason, tier: tier.to_owned() }).inc();
     }
 
-    /// Counts a torn answer.
+    /// Counts an answer that ended before it was complete.
     pub fn torn(&self, tier: &str) {
-        self.torn.get_or_create(&label(tier)).inc();
+        self.torn_answers.get_or_create(&tier_label(tier)).inc();
     }
 
-    /// Writes all metrics in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string can't fail");
@@ -101,11 +105,12 @@
     }
 }
 
-fn label(tier: &str) -> Tier {
-    Tier { tier: tier.to_owned() }
+fn tier_label(tier: &str) -> TierLabel {
+    TierLabel { tier: tier.to_owned() }
 }
 
-fn serde_name(reason: Reason) -> String {
+/// Returns the name of a reason, as in the body of a refusal.
+fn reason_label(reason: Reason) -> String {
     let name = serde_json::to_value(reason).expect("a reason is a JSON string");
     name.as_str().unwrap_or_default().to_owned()
 }
--- a/components/metrics/src/gateway.rs
+++ b/components/metrics/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry process that dispatches straight to targets.
+//! Metrics of an entry process that dispatches requests directly to targets.
 
 use std::{sync::atomic::AtomicU64, time::Duration};
 
@@ -13,87 +13,89 @@
     buckets::histogram,
 };
 
-/// Label of requests that belong to no client account.
+/// Account label of requests that belong to no client account.
 pub const NOBODY: &str = "none";
 
-/// Client accounts that get labels of their own: at 20 buckets of 100 bytes each, with their names,
-/// these take 150 KB, where all 43,000 would take more memory than a process has for control.
-const TRACKED: usize = 64;
+/// Maximum number of client accounts that get labels of their own. With 20 buckets of 100 bytes each, and
+/// their names, 64 accounts take 150 KB; all 43,000 would take more memory than a process has for control.
+const MAX_LABELLED_ACCOUNTS: usize = 64;
 
-/// Classes of expected lengths: the most tokens of each, and its label.
-const LENGTHS: [(u32, &str); 3] = [(64, "64"), (256, "256"), (1_024, "1024")];
-/// Label of answers that are longer than any class.
-const LONGEST: &str = "more";
-/// Label of answers whose length the caller doesn't tell.
+/// Classes of expected answer lengths: the maximum number of tokens and the label of each.
+const LENGTH_CLASSES: [(u32, &str); 3] = [(64, "64"), (256, "256"), (1_024, "1024")];
+/// Label of expected lengths above all classes.
+const LONGER: &str = "more";
+/// Label of requests whose caller states no expected length.
 const UNKNOWN: &str = "unknown";
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Tier {
+struct TierLabel {
     tier: u32,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Why {
+struct ReasonLabel {
     reason: String,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Length {
+struct LengthLabels {
     tier: u32,
     expected: &'static str,
     end: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct What {
+struct DataLabel {
     what: &'static str,
 }
 
-/// Counters and histograms; every method may be called from any thread.
+/// Counters, gauges and histograms of an entry process; every method may be called from any thread.
 #[derive(Debug)]
 pub struct Gateway {
     registry: Registry,
-    first: Family<Tier, Histogram>,
-    waited: Family<Tier, Histogram>,
-    whole: Accounts,
-    lengths: Family<Length, Counter>,
-    refused: Family<Why, Counter>,
-    dispatches: Family<Why, Counter>,
-    exchanges: Family<Why, Counter>,
-    reservations: Family<Why, Counter>,
-    relayed: Family<What, Counter>,
-    /// Requests that haven't ended.
+    first_event_times: Family<TierLabel, Histogram>,
+    wait_times: Family<TierLabel, Histogram>,
+    answer_times: Accounts,
+    requests_by_length: Family<LengthLabels, Counter>,
+    refusals: Family<ReasonLabel, Counter>,
+    dispatches: Family<ReasonLabel, Counter>,
+    exchanges: Family<ReasonLabel, Counter>,
+    reservations: Family<ReasonLabel, Counter>,
+    relayed: Family<DataLabel, Counter>,
+    /// Number of requests that haven't ended.
     pub open: Gauge,
     /// Version of the configuration in force.
     pub version: Gauge,
-    /// Whether the configuration is known to be current.
+    /// 1 if the configuration is known to be current, otherwise 0.
     pub fresh: Gauge,
-    /// Entry processes, this one included, that share what is left of limits.
+    /// Number of entry processes, this one included, whose parts of account limits this process may use.
     pub together: Gauge,
-    /// Targets that take requests.
+    /// Number of targets that accept requests.
     pub targets: Gauge,
-    /// Targets that name a rate limit.
+    /// Number of targets that state a rate limit.
     pub limited: Gauge,
-    /// Bytes of the row that this process last told of itself.
+    /// Size in bytes of the row of state that this process last sent to its peers.
     pub row_bytes: Gauge,
-    /// Seconds since the platform last answered a read of its list of targets; infinite where it never did.
+    /// Seconds since the platform last answered a read of its list of targets; infinite before the first
+    /// answer.
     pub list_age: Gauge<f64, AtomicU64>,
-    /// Log lines that were left out.
+    /// Number of log lines that were dropped because the log's queue was full.
     pub left_out: Gauge,
 }
 
-/// Builds the metrics.
+/// Creates and registers the metrics of an entry process.
 pub fn open() -> Gateway {
     let mut registry = Registry::with_prefix("wagtailhill");
-    let whole = "Time from arrival to the end of a whole answer, by client account";
-    let whole = accounts::register(&mut registry, "answer_seconds", whole, TRACKED);
+    let answer_help = "Time from arrival to the end of a whole answer, by client account";
+    let answer_times =
+        accounts::register(&mut registry, "answer_seconds", answer_help, MAX_LABELLED_ACCOUNTS);
     let metrics = Gateway {
         registry: Registry::default(),
-        first: Family::new_with_constructor(histogram),
-        waited: Family::new_with_constructor(histogram),
-        whole,
-        lengths: Family::default(),
-        refused: Family::default(),
+        first_event_times: Family::new_with_constructor(histogram),
+        wait_times: Family::new_with_constructor(histogram),
+        answer_times,
+        requests_by_length: Family::default(),
+        refusals: Family::default(),
         dispatches: Family::default(),
         exchanges: Family::default(),
         reservations: Family::default(),
@@ -108,22 +110,22 @@
         list_age: Gauge::default(),
         left_out: Gauge::default(),
     };
-    let first = "Time from dispatch to the first event or the whole answer, by tier";
-    registry.register("first_event_seconds", first, metrics.first.clone());
-    let waited = "Time from arrival to the first dispatch, by tier";
-    registry.register("wait_seconds", waited, metrics.waited.clone());
-    let lengths =
+    let first_event_help = "Time from dispatch to the first event or the whole answer, by tier";
+    registry.register("first_event_seconds", first_event_help, metrics.first_event_times.clone());
+    let wait_help = "Time from arrival to the first dispatch, by tier";
+    registry.register("wait_seconds", wait_help, metrics.wait_times.clone());
+    let length_help =
         "Requests answered whole or refused, by tier and most tokens that the caller expects";
-    registry.register("requests_by_length", lengths, metrics.lengths.clone());
-    registry.register("refusals", "Requests refused, by reason", metrics.refused.clone());
-    let ended = "Dispatches that ended, by outcome";
-    registry.register("dispatches", ended, metrics.dispatches.clone());
-    let exchanges = "Exchanges with other entry processes that this one began, by outcome";
-    registry.register("exchanges", exchanges, metrics.exchanges.clone());
-    let reservations = "Reservations at agents that ended, by outcome";
-    registry.register("reservations", reservations, metrics.reservations.clone());
-    let relayed = "Times that something was given to another entry process that lacks it";
-    registry.register("relayed", relayed, metrics.relayed.clone());
+    registry.register("requests_by_length", length_help, metrics.requests_by_length.clone());
+    registry.register("refusals", "Requests refused, by reason", metrics.refusals.clone());
+    let dispatches_help = "Dispatches that ended, by outcome";
+    registry.register("dispatches", dispatches_help, metrics.dispatches.clone());
+    let exchanges_help = "Exchanges with other entry processes that this one began, by outcome";
+    registry.register("exchanges", exchanges_help, metrics.exchanges.clone());
+    let reservations_help = "Reservations at agents that ended, by outcome";
+    registry.register("reservations", reservations_help, metrics.reservations.clone());
+    let relayed_help = "Times that something was given to another entry process that lacks it";
+    registry.register("relayed", relayed_help, metrics.relayed.clone());
     let gauges = [
         ("open_requests", "Requests that haven't ended", &metrics.open),
         ("config_version", "Version of the configuration in force", &metrics.version),
@@ -141,70 +143,75 @@
     for (name, help, gauge) in gauges {
         registry.register(name, help, gauge.clone());
     }
-    let list_age = "Time since the platform last answered a read of its list of targets";
-    registry.register("targets_list_age_seconds", list_age, metrics.list_age.clone());
+    let list_age_help = "Time since the platform last answered a read of its list of targets";
+    registry.register("targets_list_age_seconds", list_age_help, metrics.list_age.clone());
     Gateway { registry, ..metrics }
 }
 
-/// The class of an expected length.
-fn class(expected: Option<u32>) -> &'static str {
+/// Returns the label of the class that an expected length, in tokens, belongs to.
+fn length_label(expected: Option<u32>) -> &'static str {
     let Some(expected) = expected else {
         return UNKNOWN;
     };
-    let class = LENGTHS.iter().find(|(most, _)| expected <= *most);
-    class.map_or(LONGEST, |(_, label)| label)
+    let class = LENGTH_CLASSES.iter().find(|(max_tokens, _)| expected <= *max_tokens);
+    class.map_or(LONGER, |(_, label)| label)
 }
 
 impl Gateway {
-    /// Counts the first event of a dispatch.
+    /// Records the time from a dispatch to the first event of its answer, or to the end of an answer that isn't
+    /// a stream.
     pub fn first(&self, tier: u32, after: Duration) {
-        self.first.get_or_create(&Tier { tier }).observe(after.as_secs_f64());
+        self.first_event_times.get_or_create(&TierLabel { tier }).observe(after.as_secs_f64());
     }
 
-    /// Counts the wait before a first dispatch.
+    /// Records the time from the arrival of a request to its first dispatch.
     pub fn waited(&self, tier: u32, after: Duration) {
-        self.waited.get_or_create(&Tier { tier }).observe(after.as_secs_f64());
+        self.wait_times.get_or_create(&TierLabel { tier }).observe(after.as_secs_f64());
     }
 
-    /// Counts a whole answer.
+    /// Records the time from arrival to the end of a complete answer; `account` is `None` for requests that
+    /// belong to no client account.
     pub fn whole(&self, account: Option<&str>, after: Duration) {
-        self.whole.observe(account.unwrap_or(NOBODY), after);
+        self.answer_times.observe(account.unwrap_or(NOBODY), after);
     }
 
-    /// Counts a request that was answered whole, or refused, in the class of the length that its caller
-    /// expects.
+    /// Counts a request that was answered completely (`served`) or refused, in the class of the answer length
+    /// that its caller expects. `expected` is in tokens; `None` if the caller states no length.
     pub fn sized(&self, tier: u32, expected: Option<u32>, served: bool) {
         let end = if served { "served" } else { "refused" };
-        self.lengths.get_or_create(&Length { tier, expected: class(expected), end }).inc();
+        self.requests_by_length
+            .get_or_create(&LengthLabels { tier, expected: length_label(expected), end })
+            .inc();
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request by its reason.
     pub fn refused(&self, reason: &str) {
-        self.refused.get_or_create(&Why { reason: reason.to_owned() }).inc();
+        self.refusals.get_or_create(&ReasonLabel { reason: reason.to_owned() }).inc();
     }
 
-    /// Counts the end of a dispatch.
+    /// Counts a dispatch that ended, by its outcome.
     pub fn ended(&self, outcome: &str) {
-        self.dispatches.get_or_create(&Why { reason: outcome.to_owned() }).inc();
+        self.dispatches.get_or_create(&ReasonLabel { reason: outcome.to_owned() }).inc();
     }
 
-    /// Counts an exchange with another entry process.
+    /// Counts an exchange of state with a peer, by whether the peer answered.
     pub fn exchanged(&self, answered: bool) {
         let reason = if answered { "answered" } else { "unanswered" };
-        self.exchanges.get_or_create(&Why { reason: reason.to_owned() }).inc();
+        self.exchanges.get_or_create(&ReasonLabel { reason: reason.to_owned() }).inc();
     }
 
-    /// Counts a reservation that got room or none; those that were withdrawn aren't counted.
+    /// Counts a reservation at an agent that was granted or denied, by the outcome; withdrawn ones aren't
+    /// counted.
     pub fn reserved(&self, outcome: &str) {
-        self.reservations.get_or_create(&Why { reason: outcome.to_owned() }).inc();
+        self.reservations.get_or_create(&ReasonLabel { reason: outcome.to_owned() }).inc();
     }
 
-    /// Counts what was given to another entry process.
+    /// Counts a piece of data that was sent to a peer which lacked it, by the kind of data.
     pub fn relayed(&self, what: &'static str) {
-        self.relayed.get_or_create(&What { what }).inc();
+        self.relayed.get_or_create(&DataLabel { what }).inc();
     }
 
-    /// Writes all metrics in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.registry).expect("writing to a string can't fail");
--- a/components/metrics/src/lib.rs
+++ b/components/metrics/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators see of a process: metrics and the log.
+//! Metrics and log of a process, for operators.
 
 pub mod accounts;
 pub mod agent;
--- a/components/metrics/tests/lengths.rs
+++ b/components/metrics/tests/lengths.rs
@@ -1,9 +1,9 @@
-//! Requests by the length that their callers expect.
+//! Counters of requests by the answer length that their callers expect.
 
-/// Guards against a label for each length, which would take memory as callers please, and against a class
-/// that takes in its neighbour's lengths.
+/// Guards against a label for each length, with which callers could exhaust the memory of a process, and
+/// against wrong bounds between classes.
 #[test]
-fn requests_are_counted_in_few_classes_of_length() {
+fn requests_are_counted_in_a_fixed_number_of_length_classes() {
     let metrics = metrics::gateway::open();
     let classes = [
         (Some(0), "64"),
@@ -26,7 +26,7 @@
             let count = classes.iter().filter(|(_, label)| *label == class).count();
             let labels = format!("{{tier=\"2\",expected=\"{class}\",end=\"{end}\"}}");
             let line = format!("wagtailhill_requests_by_length_total{labels} {count}");
-            assert!(text.lines().any(|known| known == line), "{line} in {text}");
+            assert!(text.lines().any(|rendered| rendered == line), "{line} in {text}");
         }
     }
 }
