--- a/components/metrics/src/gateway.rs
+++ b/components/metrics/src/gateway.rs
@@ -14,7 +14,7 @@
 };
 
 /// Account label of requests that belong to no client account.
-pub const NOBODY: &str = "none";
+pub const NO_ACCOUNT: &str = "none";
 
 /// Maximum number of client accounts that get labels of their own. With 20 buckets of 100 bytes each, and
 /// their names, 64 accounts take 150 KB; all 43,000 would take more memory than a process has for control.
@@ -172,7 +172,7 @@
     /// Records the time from arrival to the end of a complete answer; `account` is `None` for requests that
     /// belong to no client account.
     pub fn whole(&self, account: Option<&str>, after: Duration) {
-        self.answer_times.observe(account.unwrap_or(NOBODY), after);
+        self.answer_times.observe(account.unwrap_or(NO_ACCOUNT), after);
     }
 
     /// Counts a request that was answered completely (`served`) or refused, in the class of the answer length
