--- a/tests/store_audit.rs
+++ b/tests/store_audit.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use serde_json::Value;
 use support::{
-    runner::{self, Deed},
-    site,
+    runner::{self, Behavior},
+    start_entry,
 };
 use tokio::process::Command;
 
@@ -19,7 +19,7 @@
 async fn audit(store: SocketAddr) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_wagtailhill"));
     command.args(["audit", "--store", &store.to_string(), "--output", "json"]);
-    command.output().await.expect("it runs")
+    command.output().await.expect("the command runs")
 }
 
 fn report(output: &Output) -> Value {
@@ -28,15 +28,15 @@
 
 #[tokio::test]
 async fn what_an_entry_wrote_is_judged_from_the_store() {
-    let a = runner::bind("a", Deed::Whole(StatusCode::OK)).await;
-    let mut site = site(&[&a]).await;
+    let a = runner::bind("a", Behavior::Respond(StatusCode::OK)).await;
+    let mut entry = start_entry(&[&a]).await;
     for number in 0..3 {
-        site.ask(site.request("/unsafe/", &format!("id-{number}")), "").await;
+        entry.send(entry.request("/unsafe/", &format!("id-{number}")), "").await;
     }
-    site.gateway.take().expect("it runs").drain().await;
-    site.evidence.take().expect("it runs").flush().await;
+    entry.gateway.take().expect("still running").drain().await;
+    entry.evidence.take().expect("still running").flush().await;
 
-    let output = audit(site.store.address).await;
+    let output = audit(entry.store.address).await;
 
     let text = report(&output).to_string();
     assert_ne!(output.status.code(), Some(VIOLATED), "{text}");
@@ -46,12 +46,12 @@
 
 #[tokio::test]
 async fn evidence_of_one_that_still_runs_is_no_proof_of_the_rest() {
-    let a = runner::bind("a", Deed::Whole(StatusCode::OK)).await;
-    let mut site = site(&[&a]).await;
-    site.ask(site.request("/unsafe/", "id"), "").await;
-    site.evidence.take().expect("it runs").flush().await;
+    let a = runner::bind("a", Behavior::Respond(StatusCode::OK)).await;
+    let mut entry = start_entry(&[&a]).await;
+    entry.send(entry.request("/unsafe/", "id"), "").await;
+    entry.evidence.take().expect("still running").flush().await;
 
-    let output = audit(site.store.address).await;
+    let output = audit(entry.store.address).await;
 
     assert_eq!(output.status.code(), Some(NOT_PROVABLE));
 }
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_store_that_does_not_answer_is_said_so() {
     let store = support::store::bind().await;
-    store.set_down(true);
+    store.set_unavailable(true);
 
     let output = audit(store.address).await;
 
@@ -70,5 +70,5 @@
 
 fn finding(report: &Value, rule: &str) -> Value {
     let findings = report["findings"].as_array().expect("there are findings");
-    findings.iter().find(|finding| finding["rule"] == rule).expect("it is judged").clone()
+    findings.iter().find(|finding| finding["rule"] == rule).expect("the rule is audited").clone()
 }
