--- a/components/agent/src/admission/control.rs
+++ b/components/agent/src/admission/control.rs
@@ -1,4 +1,4 @@
-//! The control task: hands what comes to the queue of its target.
+//! The control task: passes each call and probe result to the queue of the target concerned.
 
 use std::{
     collections::HashMap,
@@ -20,67 +20,71 @@
     queue::{self, Granted, Queue},
 };
 
-/// Longest sleep, in case no timer is due.
-const IDLE: Duration = Duration::from_secs(60);
-/// Period in which the target beside is asked what it has.
-const LOOK: Duration = Duration::from_millis(200);
-/// Longest wait for its answer: it is on the same host.
-const LOOK_WAIT: Duration = Duration::from_millis(300);
+/// Longest sleep of the control task while no timer is due.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
+/// Interval between two probes of a target on the agent's host.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of a probe; short because the probed target is on the agent's host.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 enum Message {
     Reserve { ask: Ask, target: Target, limit: Option<Limit>, reply: oneshot::Sender<Granted> },
     Cancel(SocketAddr, Id),
     Hold { id: Id, address: SocketAddr, reply: oneshot::Sender<Fate> },
-    Ended(SocketAddr, Id),
-    Seen { address: SocketAddr, seen: Seen },
+    Released(SocketAddr, Id),
+    Probed { address: SocketAddr, result: Seen },
     Drain,
 }
 
-/// Speaks to the control task; clones speak to the same one.
+/// Sends messages to the control task; clones share the task.
 #[derive(Clone)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
 }
 
-/// A reservation or the room that it got; dropping it gives that up.
-struct Guard {
-    /// What is told then.
+/// Sends a message to the control task when it is dropped, which cancels a reservation or releases
+/// a slot.
+struct SendOnDrop {
+    /// Message to send on drop; `None` once it is no longer needed.
     message: Option<Message>,
     control: Handle,
 }
 
 struct Task {
-    /// By where the target listens: the one beside, and those that have no agent of their own.
+    /// Queues by the address of the target: the one on this host, and those without an agent of
+    /// their own.
     queues: HashMap<SocketAddr, Queue>,
-    draining: bool,
+    is_draining: bool,
     control: Handle,
     look: Look,
 }
 
-/// Starts the control task.
+/// Starts the control task; it probes the targets on this host with `look`.
 pub fn spawn(look: Look) -> Handle {
     let (messages, inbox) = mpsc::unbounded_channel();
     let handle = Handle { messages };
-    let task = Task { queues: HashMap::new(), draining: false, control: handle.clone(), look };
+    let task = Task { queues: HashMap::new(), is_draining: false, control: handle.clone(), look };
     tokio::spawn(task.run(inbox));
     handle
 }
 
 impl Handle {
-    /// Waits for room; dropping the future cancels the reservation. `None` where the task ended.
+    /// Waits until the reservation is granted or denied; dropping the future cancels it. Returns
+    /// `None` if the control task ended.
     pub async fn reserve(&self, ask: Ask, target: Target, limit: Option<Limit>) -> Option<Granted> {
-        let mut guard = self.guard(Message::Cancel(target.address, ask.id));
+        let mut guard = self.send_on_drop(Message::Cancel(target.address, ask.id));
         let (reply, answer) = oneshot::channel();
         self.send(Message::Reserve { ask, target, limit, reply });
         let granted = answer.await.ok();
-        // Granted room lapses unless it is held.
+        // An answered reservation needs no cancel: a grant that isn't held expires.
         guard.message = None;
         granted
     }
 
-    /// Keeps granted room until the future is dropped; ends only where there is none.
+    /// Holds a granted slot until the future is dropped. Returns early only if the reservation
+    /// has no grant.
     pub async fn hold(&self, id: Id, address: SocketAddr) -> Fate {
-        let _guard = self.guard(Message::Ended(address, id));
+        let _guard = self.send_on_drop(Message::Released(address, id));
         let (reply, answer) = oneshot::channel();
         self.send(Message::Hold { id, address, reply });
         match answer.await {
@@ -89,22 +93,22 @@
         }
     }
 
-    /// Denies whoever waits or comes.
+    /// Denies all waiting and all future reservations.
     pub fn drain(&self) {
         self.send(Message::Drain);
     }
 
-    fn guard(&self, message: Message) -> Guard {
-        Guard { message: Some(message), control: self.clone() }
+    fn send_on_drop(&self, message: Message) -> SendOnDrop {
+        SendOnDrop { message: Some(message), control: self.clone() }
     }
 
     fn send(&self, message: Message) {
-        // The task ends only with the process.
+        // The task ends only with the process, so a failed send needs no handling.
         let _ = self.messages.send(message);
     }
 }
 
-impl Drop for Guard {
+impl Drop for SendOnDrop {
     fn drop(&mut self) {
         if let Some(message) = self.message.take() {
             self.control.send(message);
@@ -114,57 +118,59 @@
 
 impl Task {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
-        let mut look = interval(LOOK);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut probe_timer = interval(PROBE_INTERVAL);
+        probe_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let wake = self.queues.values().filter_map(Queue::next_wake).min();
-            let wake = wake.unwrap_or_else(|| Instant::now() + IDLE);
+            let wake = wake.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => return,
                 },
                 () = sleep_until(wake.into()) => self.reduce_all(&Event::Tick),
-                _ = look.tick() => self.look_round(),
+                _ = probe_timer.tick() => self.probe_all(),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
             Message::Reserve { ask, target, limit, reply } => {
-                let (known, draining) = (self.queues.contains_key(&target.address), self.draining);
+                let is_known = self.queues.contains_key(&target.address);
                 let queue =
                     self.queues.entry(target.address).or_insert_with(|| queue::open(target));
-                if !known && draining {
+                if !is_known && self.is_draining {
                     queue.reduce(Event::Drain);
                 }
                 limit.into_iter().for_each(|limit| queue.limit(limit));
                 queue.reserve(ask, target, reply);
-                if !known && target.beside {
-                    self.look(target.address);
+                if !is_known && target.beside {
+                    self.probe(target.address);
                 }
             }
-            Message::Cancel(address, id) => self.with(address, |queue| queue.cancel(id)),
+            Message::Cancel(address, id) => self.with_queue(address, |queue| queue.cancel(id)),
             Message::Hold { id, address, reply } => {
-                // A queue is forgotten only once nobody has room there.
+                // A queue is removed only once it has no reservations.
                 match self.queues.get_mut(&address) {
                     Some(queue) => queue.hold(id, reply),
                     None => drop(reply.send(Fate::Unknown)),
                 }
             }
-            Message::Ended(address, id) => {
-                self.with(address, |queue| queue.reduce(Event::Ended(id)));
+            Message::Released(address, id) => {
+                self.with_queue(address, |queue| queue.reduce(Event::Ended(id)));
+            }
+            Message::Probed { address, result } => {
+                self.with_queue(address, |queue| queue.apply_probe(result));
             }
-            Message::Seen { address, seen } => self.with(address, |queue| queue.see(seen)),
             Message::Drain => {
-                self.draining = true;
+                self.is_draining = true;
                 self.reduce_all(&Event::Drain);
             }
         }
     }
 
-    fn with(&mut self, address: SocketAddr, change: impl FnOnce(&mut Queue)) {
+    fn with_queue(&mut self, address: SocketAddr, change: impl FnOnce(&mut Queue)) {
         if let Some(queue) = self.queues.get_mut(&address) {
             change(queue);
         }
@@ -174,19 +180,20 @@
         self.queues.values_mut().for_each(|queue| queue.reduce(event.clone()));
     }
 
-    fn look_round(&mut self) {
+    /// Removes idle queues and probes every target on this host.
+    fn probe_all(&mut self) {
         let now = Instant::now();
         self.queues.retain(|_, queue| !queue.is_idle(now));
-        let beside = self.queues.values().map(Queue::target).filter(|target| target.beside);
-        beside.for_each(|target| self.look(target.address));
+        let local = self.queues.values().map(Queue::target).filter(|target| target.beside);
+        local.for_each(|target| self.probe(target.address));
     }
 
-    /// Asks a target what it has.
-    fn look(&self, address: SocketAddr) {
-        let (seen, control) = ((self.look)(address), self.control.clone());
+    /// Probes a target and reports the result to the control task.
+    fn probe(&self, address: SocketAddr) {
+        let (probe, control) = ((self.look)(address), self.control.clone());
         tokio::spawn(async move {
-            let seen = timeout(LOOK_WAIT, seen).await.unwrap_or_default();
-            control.send(Message::Seen { address, seen });
+            let result = timeout(PROBE_TIMEOUT, probe).await.unwrap_or_default();
+            control.send(Message::Probed { address, result });
         });
     }
 }
--- a/components/agent/src/admission/mod.rs
+++ b/components/agent/src/admission/mod.rs
@@ -1,8 +1,9 @@
-//! The agent of a target that entry processes call themselves: it admits their requests, and carries
-//! none of them.
+//! Agent that only performs admission control: entry processes reserve a slot here and then send
+//! their requests to the target directly, so no request passes through the agent.
 //!
-//! Everything that it knows is told by those that reserve, and by the target itself. It keeps
-//! nothing, reads no configuration, and may be killed at any time: who isn't answered goes elsewhere.
+//! All its state comes from reservation calls and from probes of the target. It persists nothing,
+//! reads no configuration, and may be killed at any time: an entry process whose reservation isn't
+//! answered tries another target.
 
 mod control;
 mod queue;
@@ -13,32 +14,34 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Time between the last denial and the end of the process, in which it reaches who waited.
-const FAREWELL: Duration = Duration::from_millis(100);
+/// Delay between denying the waiting reservations and ending the process, so that the denials
+/// are still delivered.
+const DENIAL_DELIVERY_TIME: Duration = Duration::from_millis(100);
 
-/// Requests that a target has, waiting ones included; `None` where it isn't reached.
+/// Result of a probe: the number of requests at the target, including those waiting there; `None`
+/// where the target is unreachable.
 pub type Seen = Option<usize>;
 
-/// Asks a target what it has.
+/// Probe of the target at an address, which returns the number of requests there.
 pub type Look = Arc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Seen> + Send>> + Send + Sync>;
 
-/// What the process is told at its start.
+/// Settings of an agent that only performs admission control.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Its name, for logs.
+    /// Name of the agent, used only in log lines.
     pub name: String,
-    /// Where entry processes reserve.
+    /// Address to listen on for reservation calls of entry processes.
     pub listen: SocketAddr,
 }
 
-/// A running agent.
+/// Handle of a running agent.
 pub struct Handle {
-    /// Where entry processes reserve.
+    /// Address on which the agent listens for reservation calls of entry processes.
     pub address: SocketAddr,
     control: control::Handle,
 }
 
-/// Starts an agent on the current `tokio` runtime.
+/// Starts an agent on the current `tokio` runtime; it probes the targets on its host with `look`.
 pub async fn spawn(settings: Settings, look: Look) -> io::Result<Handle> {
     let control = control::spawn(look);
     let address = service::bind(settings.listen, control.clone()).await?;
@@ -47,10 +50,11 @@
 }
 
 impl Handle {
-    /// Denies whoever waits, and ends. What runs goes on: the agent carries none of it.
+    /// Denies all waiting reservations and stops. Running requests aren't affected, because none
+    /// passes through the agent.
     pub async fn drain(self) {
         self.control.drain();
-        sleep(FAREWELL).await;
+        sleep(DENIAL_DELIVERY_TIME).await;
         info!("stopped");
     }
 }
--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -1,5 +1,5 @@
-//! Who waits for one target and who runs there: owns the reducer's state, takes events in and carries
-//! effects out.
+//! The reservations of one target, waiting and granted: owns the admission reducer's state, feeds it
+//! events and carries out the effects that it returns.
 
 use std::{
     collections::HashMap,
@@ -17,66 +17,73 @@
 
 use super::Seen;
 
-/// Life of a grant whose reservation isn't held: it may have crossed the word that gave it up.
-const GRANT: Duration = Duration::from_millis(200);
-/// Most reservations that wait; each is under a kilobyte.
-const WAITING: usize = 10_000;
-/// Part of the work that each tier may have whatever waits above it.
-const FLOOR: f64 = 0.05;
-/// Time without a reservation after which a target is forgotten that another agent may admit to by now.
-const KEEP: Duration = Duration::from_secs(10);
-
-/// What becomes of a reservation.
+/// Time after which a grant expires unless it is held: a grant may cross the cancel of its
+/// reservation on the network, and then nobody ever holds it.
+const GRANT_TTL: Duration = Duration::from_millis(200);
+/// Largest number of waiting reservations of a target; each takes less than a kilobyte.
+const MAX_WAITING: usize = 10_000;
+/// Minimum share of the work, from 0 to 1, that each tier gets even while higher tiers wait.
+const MIN_TIER_SHARE: f64 = 0.05;
+/// Time without a new reservation after which a target's queue is removed, since another agent may
+/// have taken over its admission.
+const IDLE_TTL: Duration = Duration::from_secs(10);
+
+/// Answer to a reservation.
 pub type Granted = Result<Grant, Denial>;
 
-/// A target, who waits for it and who runs there.
+/// The reservations of one target and what is known of its load.
 pub struct Queue {
     state: State,
-    /// Who waits for room.
-    granting: HashMap<Id, oneshot::Sender<Granted>>,
+    /// Reply channels of the waiting reservations.
+    replies: HashMap<Id, oneshot::Sender<Granted>>,
     target: Target,
-    /// What the target had beyond what is held here, when it was last asked.
+    /// Requests at the target beyond those with a slot held here, by the last probe.
     unreserved: usize,
-    /// Whether the target took connections when it was last asked.
-    reached: bool,
-    /// When room was last asked for.
-    asked: Instant,
+    /// Whether the last probe reached the target; `true` before the first probe.
+    is_reachable: bool,
+    /// When the last reservation arrived.
+    last_reserved: Instant,
 }
 
-/// Gives one where nobody waits, for a target as an entry process knows it.
+/// Returns an empty queue for a target, which is described as an entry process knows it.
 pub fn open(target: Target) -> Queue {
     let slots = target.slots as usize;
-    let room = Room { slots, tokens: u64::MAX, waiting: WAITING, grant: GRANT };
-    info!(address = %target.address, slots, beside = target.beside, "the target is known");
+    let room = Room { slots, tokens: u64::MAX, waiting: MAX_WAITING, grant: GRANT_TTL };
+    info!(address = %target.address, slots, beside = target.beside, "target added");
     Queue {
-        // Entry processes refuse what comes too late, by what they know of all targets.
-        state: agent::open_with(room, Policy { floor: FLOOR, newest: true, ..Policy::first() }),
-        granting: HashMap::new(),
+        // The reducer needn't deny requests that can't meet their deadline: entry processes refuse
+        // them, because they know the state of all targets.
+        state: agent::open_with(
+            room,
+            Policy { floor: MIN_TIER_SHARE, newest: true, ..Policy::first() },
+        ),
+        replies: HashMap::new(),
         target,
         unreserved: 0,
-        reached: true,
-        asked: Instant::now(),
+        is_reachable: true,
+        last_reserved: Instant::now(),
     }
 }
 
 impl Queue {
-    /// The target, as an entry process last told it.
+    /// Returns the target as the last reservation described it.
     pub fn target(&self) -> Target {
         self.target
     }
 
-    /// When the next `Event::Tick` is due.
+    /// Returns when the next `Event::Tick` is due; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Instant> {
         agent::next_wake(&self.state)
     }
 
-    /// Whether nobody needs it any more.
+    /// Returns whether the queue can be removed: it has no reservations and got none for a while.
     pub fn is_idle(&self, now: Instant) -> bool {
         let Load { running, waiting, .. } = self.state.load();
-        running + waiting == 0 && now.saturating_duration_since(self.asked) > KEEP
+        running + waiting == 0 && now.saturating_duration_since(self.last_reserved) > IDLE_TTL
     }
 
-    /// Learns what an entry process heard of the target's rate limit.
+    /// Applies the target's rate limit as an entry process last received it; an older one than the
+    /// limit in force has no effect.
     pub fn limit(&mut self, limit: Limit) {
         let before = self.state.limit();
         self.reduce(Event::Limited(limit));
@@ -87,53 +94,54 @@
         }
     }
 
-    /// Takes a reservation in; it is answered once there is room, or surely none.
+    /// Enqueues a reservation. The reply is sent once the reservation is granted or denied.
     pub fn reserve(&mut self, ask: Ask, target: Target, reply: oneshot::Sender<Granted>) {
-        self.asked = Instant::now();
+        self.last_reserved = Instant::now();
         if self.target != target {
             self.target = target;
             info!(address = %target.address, slots = target.slots, "the target's size changed");
             self.reduce(Event::Sized(target.slots as usize));
         }
-        self.granting.insert(ask.id, reply);
+        self.replies.insert(ask.id, reply);
         self.reduce(Event::Reserve(ask));
     }
 
-    /// Gives a reservation up.
+    /// Cancels a waiting or granted reservation.
     pub fn cancel(&mut self, id: Id) {
-        self.granting.remove(&id);
+        self.replies.remove(&id);
         self.reduce(Event::Cancel(id));
     }
 
-    /// Keeps granted room; answers only where there is none.
+    /// Holds a granted slot; sends a reply only if the reservation has no grant.
     pub fn hold(&mut self, id: Id, reply: oneshot::Sender<Fate>) {
         let denied = self.effects(Event::Start(id)).into_iter().find_map(|effect| match effect {
             Effect::DenyStart { fate, .. } => Some(fate),
             _ => None,
         });
         if let Some(fate) = denied {
-            // Whoever asked may have gone.
+            // The caller may have disconnected.
             let _ = reply.send(fate);
         }
     }
 
-    /// Learns what the target has.
-    pub fn see(&mut self, seen: Seen) {
-        let reached = seen.is_some();
-        if std::mem::replace(&mut self.reached, reached) != reached {
+    /// Applies the result of a probe of the target.
+    pub fn apply_probe(&mut self, result: Seen) {
+        let is_reachable = result.is_some();
+        if std::mem::replace(&mut self.is_reachable, is_reachable) != is_reachable {
             let address = self.target.address;
-            info!(%address, reached, "the target takes requests, or none");
-            self.reduce(Event::Reached(reached));
+            info!(%address, reached = is_reachable, "the target's reachability changed");
+            self.reduce(Event::Reached(is_reachable));
         }
         let running = self.state.load().running as usize;
-        let unreserved = seen.unwrap_or_default().saturating_sub(running);
-        // What has just been given up here may still be there: it counts once it stays.
-        let lasting = unreserved.min(self.unreserved);
+        let unreserved = result.unwrap_or_default().saturating_sub(running);
+        // A request whose slot was just released may still be at the target, so only requests
+        // that two probes in a row have found count.
+        let persistent = unreserved.min(self.unreserved);
         self.unreserved = unreserved;
-        self.reduce(Event::Unreserved(lasting));
+        self.reduce(Event::Unreserved(persistent));
     }
 
-    /// Takes an event in; whoever waits is told what follows.
+    /// Feeds an event to the reducer and answers the reservations that it grants or denies.
     pub fn reduce(&mut self, event: Event) {
         self.effects(event);
     }
@@ -155,8 +163,8 @@
         let reason = granted.as_ref().err().map(|denial| format!("{:?}", denial.reason));
         let (request, number, to) = (id.request, id.attempt, self.target.address);
         info!(%request, number, %to, reason, running, waiting, granted = granted.is_ok(), "answered");
-        if let Some(reply) = self.granting.remove(&id) {
-            // Whoever waited may have gone; what was granted lapses.
+        if let Some(reply) = self.replies.remove(&id) {
+            // The caller may have disconnected; then the grant expires.
             let _ = reply.send(granted);
         }
     }
--- a/components/agent/src/admission/service.rs
+++ b/components/agent/src/admission/service.rs
@@ -1,4 +1,4 @@
-//! Serves entry processes by `tarpc`.
+//! The `tarpc` server for reservation calls of entry processes.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -24,7 +24,7 @@
     control: control::Handle,
 }
 
-/// Starts to serve at an address; gives where it listens.
+/// Starts the server and returns the address on which it listens.
 pub async fn bind(address: SocketAddr, control: control::Handle) -> io::Result<SocketAddr> {
     let incoming = tarpc::serde_transport::tcp::listen(address, Bincode::default).await?;
     let address = incoming.local_addr();
@@ -33,9 +33,10 @@
         let connections = incoming.filter_map(|connection| future::ready(connection.ok()));
         connections
             .for_each(|connection| {
-                // A connection that is gone already shows itself at its first use.
+                // If the connection is already closed, its first read fails.
                 let _ = socket::prepare(connection.get_ref());
-                // What waits and what is held ends with its connection.
+                // The end of a connection cancels its calls: waiting reservations are cancelled and
+                // held slots are released.
                 let connection = ending::open(connection);
                 let calls = BaseChannel::with_defaults(connection).execute(server.clone().serve());
                 tokio::spawn(calls.for_each(|call| {
--- a/components/agent/tests/admission.rs
+++ b/components/agent/tests/admission.rs
@@ -1,6 +1,7 @@
-//! An agent that admits requests without carrying them, by its calls.
+//! Calls of an agent that only performs admission control.
 //!
-//! Pattern: entry processes that die or go while they hold room.
+//! Most of these tests guard against slots that stay taken after their entry process cancelled a
+//! call, closed its connection or died.
 
 use std::{
     net::SocketAddr,
@@ -27,52 +28,54 @@
     pool::{Dispatch, context},
 };
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Longer than the life of a grant that nobody holds.
-const LAPSE: Duration = Duration::from_millis(1_500);
-/// What a stand-in target says where it isn't reached.
-const DOWN: usize = usize::MAX;
+/// Timeout of everything that a test expects to happen.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longer than the time after which a grant that isn't held expires.
+const AFTER_GRANT_TTL: Duration = Duration::from_millis(1_500);
+/// Value of `Site::load` for a target that can't be reached.
+const UNREACHABLE: usize = usize::MAX;
 
-const TARGET: Target = Target {
+/// The target on the agent's host, with one slot.
+const LOCAL: Target = Target {
     address: SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9),
     slots: 1,
     beside: true,
 };
 
-/// A target that has no agent beside it.
-const OTHER: Target = Target {
+/// A target on another host, with one slot and no agent of its own.
+const REMOTE: Target = Target {
     address: SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 10),
     slots: 1,
     beside: false,
 };
 
+/// An agent and the load of the target on its host.
 struct Site {
     agent: Handle,
-    /// Requests that the target says it has, or `DOWN`.
-    has: Arc<AtomicUsize>,
+    /// Number of requests that a probe of any target finds, or `UNREACHABLE`.
+    load: Arc<AtomicUsize>,
 }
 
-/// An entry process's connection; dropping it closes that.
+/// Connection of an entry process to the agent; dropping it closes the connection.
 struct Entry {
     client: AdmissionClient,
     dispatch: JoinHandle<()>,
 }
 
 async fn site() -> Site {
-    let has: Arc<AtomicUsize> = Arc::default();
-    let seen = Arc::clone(&has);
+    let load: Arc<AtomicUsize> = Arc::default();
+    let probed = Arc::clone(&load);
     let look: Look = Arc::new(move |_| {
-        let seen = Some(seen.load(Ordering::Relaxed)).filter(|&has| has != DOWN);
-        Box::pin(async move { seen })
+        let found = Some(probed.load(Ordering::Relaxed)).filter(|&load| load != UNREACHABLE);
+        Box::pin(async move { found })
     });
     let settings = Settings { name: "agent".into(), listen: ([127, 0, 0, 1], 0).into() };
-    Site { agent: admission::spawn(settings, look).await.expect("it listens"), has }
+    Site { agent: admission::spawn(settings, look).await.expect("the agent listens"), load }
 }
 
 async fn entry(site: &Site) -> Entry {
     let (client, dispatch): (_, Dispatch) =
-        connect(site.agent.address).await.expect("it takes connections");
+        connect(site.agent.address).await.expect("the agent accepts connections");
     Entry { client, dispatch: tokio::spawn(dispatch) }
 }
 
@@ -90,7 +93,7 @@
     Ask {
         id: id(request),
         rank: 0,
-        remaining: PATIENCE,
+        remaining: TEST_TIMEOUT,
         prefill: 1,
         decode: 1,
         prefix: Vec::new(),
@@ -100,145 +103,152 @@
 }
 
 impl Entry {
-    /// Waits for room; gives why there is none.
+    /// Reserves the slot of the local target; returns the reason if it is denied.
     async fn reserve(&self, request: u128) -> Result<(), Reason> {
-        self.reserve_at(TARGET, request).await
+        self.reserve_at(LOCAL, request).await
     }
 
     async fn reserve_at(&self, target: Target, request: u128) -> Result<(), Reason> {
-        let call = self.client.reserve(context(PATIENCE), ask(request), target, None);
-        let granted = timeout(PATIENCE, call).await.expect("it answers in time");
-        granted.expect("it answers").map(drop).map_err(|denial| denial.reason)
+        let call = self.client.reserve(context(TEST_TIMEOUT), ask(request), target, None);
+        let granted = timeout(TEST_TIMEOUT, call).await.expect("the agent answers in time");
+        granted.expect("the call succeeds").map(drop).map_err(|denial| denial.reason)
     }
 
-    /// Holds room until the task is aborted.
+    /// Holds the slot of a granted reservation until the task is aborted.
     fn hold(&self, request: u128) -> JoinHandle<Fate> {
         let client = self.client.clone();
         tokio::spawn(async move {
-            client.hold(context(PATIENCE), id(request), TARGET.address).await.expect("it answers")
+            let held = client.hold(context(TEST_TIMEOUT), id(request), LOCAL.address).await;
+            held.expect("the call succeeds")
         })
     }
 
-    /// Begins to wait for room.
-    fn wait(&self, request: u128) -> JoinHandle<bool> {
+    /// Starts a reservation; the task returns whether it was granted.
+    fn start_reserve(&self, request: u128) -> JoinHandle<bool> {
         let client = self.client.clone();
         tokio::spawn(async move {
-            matches!(client.reserve(context(PATIENCE), ask(request), TARGET, None).await, Ok(Ok(_)))
+            let answer = client.reserve(context(TEST_TIMEOUT), ask(request), LOCAL, None).await;
+            matches!(answer, Ok(Ok(_)))
         })
     }
 }
 
-async fn is_granted(waits: JoinHandle<bool>) -> bool {
-    timeout(PATIENCE, waits).await.expect("it ends in time").expect("it ends")
+async fn is_granted(waiting: JoinHandle<bool>) -> bool {
+    timeout(TEST_TIMEOUT, waiting).await.expect("it ends in time").expect("the task ends")
 }
 
 #[tokio::test]
-async fn room_is_granted_again_once_it_is_held_no_more() {
+async fn a_slot_is_granted_again_only_after_it_is_released() {
     let site = site().await;
     let entry = entry(&site).await;
-    entry.reserve(1).await.expect("there is room");
+    entry.reserve(1).await.expect("a slot is free");
     let held = entry.hold(1);
-    let waits = entry.wait(2);
-    sleep(LAPSE).await;
-    let early = waits.is_finished();
+    let waiting = entry.start_reserve(2);
+    sleep(AFTER_GRANT_TTL).await;
+    let granted_early = waiting.is_finished();
 
     held.abort();
 
-    assert!(!early, "the room is held");
-    assert!(is_granted(waits).await);
+    assert!(!granted_early, "the slot is held");
+    assert!(is_granted(waiting).await);
 }
 
+// A connection that ends without a cancel must release the slots held over it.
 #[tokio::test]
-async fn the_room_of_an_entry_process_that_dies_is_free_again() {
+async fn the_slot_of_an_entry_process_is_free_again_after_its_connection_closes() {
     let site = site().await;
-    let (dies, lives) = (entry(&site).await, entry(&site).await);
-    dies.reserve(1).await.expect("there is room");
-    let _held = dies.hold(1);
-    let waits = lives.wait(2);
-    sleep(LAPSE).await;
-    let early = waits.is_finished();
+    let (dying, survivor) = (entry(&site).await, entry(&site).await);
+    dying.reserve(1).await.expect("a slot is free");
+    let _held = dying.hold(1);
+    let waiting = survivor.start_reserve(2);
+    sleep(AFTER_GRANT_TTL).await;
+    let granted_early = waiting.is_finished();
 
-    drop(dies);
+    drop(dying);
 
-    assert!(!early, "the room is held");
-    assert!(is_granted(waits).await);
+    assert!(!granted_early, "the slot is held");
+    assert!(is_granted(waiting).await);
 }
 
+// A cancelled reservation must not get the slot that the next one waits for.
 #[tokio::test]
-async fn who_waited_and_went_is_granted_nothing() {
+async fn a_cancelled_reservation_is_not_granted() {
     let site = site().await;
     let entry = entry(&site).await;
-    entry.reserve(1).await.expect("there is room");
+    entry.reserve(1).await.expect("a slot is free");
     let held = entry.hold(1);
-    let gone = entry.wait(2);
+    let cancelled = entry.start_reserve(2);
     tokio::task::yield_now().await;
-    gone.abort();
-    let _ = gone.await;
-    let waits = entry.wait(3);
+    cancelled.abort();
+    let _ = cancelled.await;
+    let waiting = entry.start_reserve(3);
 
     held.abort();
 
-    assert!(is_granted(waits).await);
+    assert!(is_granted(waiting).await);
 }
 
 #[tokio::test]
-async fn room_that_was_never_granted_is_not_kept() {
+async fn a_slot_that_was_never_granted_cannot_be_held() {
     let site = site().await;
     let entry = entry(&site).await;
 
-    let fate = timeout(PATIENCE, entry.hold(7)).await.expect("it is answered");
+    let fate = timeout(TEST_TIMEOUT, entry.hold(7)).await.expect("it ends in time");
 
-    assert_eq!(fate.expect("it ends"), Fate::Unknown);
+    assert_eq!(fate.expect("the task ends"), Fate::Unknown);
 }
 
+// Reservations for an unreachable target must be denied at once, so that their entry processes try
+// another one.
 #[tokio::test]
-async fn a_target_that_takes_no_connection_is_told_to_who_waits() {
+async fn reservations_for_an_unreachable_target_are_denied() {
     let site = site().await;
     let entry = entry(&site).await;
-    entry.reserve(1).await.expect("there is room");
+    entry.reserve(1).await.expect("a slot is free");
     let _held = entry.hold(1);
 
-    site.has.store(DOWN, Ordering::Relaxed);
+    site.load.store(UNREACHABLE, Ordering::Relaxed);
     let reason = entry.reserve(2).await;
 
     assert_eq!(reason, Err(Reason::NoTarget));
 }
 
 #[tokio::test]
-async fn an_agent_that_stops_denies_who_waits() {
+async fn an_agent_that_stops_denies_reservations() {
     let site = site().await;
     let entry = entry(&site).await;
-    entry.reserve(1).await.expect("there is room");
+    entry.reserve(1).await.expect("a slot is free");
     let _held = entry.hold(1);
     let stop = tokio::spawn(site.agent.drain());
 
     let reason = entry.reserve(2).await;
 
     assert_eq!(reason, Err(Reason::Draining));
-    stop.await.expect("it stops");
+    stop.await.expect("the agent stops");
 }
 
 #[tokio::test]
-async fn targets_share_no_room() {
+async fn each_target_has_its_own_slots() {
     let site = site().await;
     let entry = entry(&site).await;
-    entry.reserve(1).await.expect("there is room");
+    entry.reserve(1).await.expect("a slot is free");
     let _held = entry.hold(1);
 
-    let other = entry.reserve_at(OTHER, 2).await;
+    let other = entry.reserve_at(REMOTE, 2).await;
 
     assert_eq!(other, Ok(()));
 }
 
+// The agent can't probe targets on other hosts, so a failed probe must not deny their reservations.
 #[tokio::test]
-async fn only_the_target_beside_is_asked_what_it_has() {
+async fn only_the_target_on_the_agents_host_is_probed() {
     let site = site().await;
-    site.has.store(DOWN, Ordering::Relaxed);
+    site.load.store(UNREACHABLE, Ordering::Relaxed);
     let entry = entry(&site).await;
-    entry.reserve_at(OTHER, 1).await.expect("there is room");
-    sleep(LAPSE).await;
+    entry.reserve_at(REMOTE, 1).await.expect("a slot is free");
+    sleep(AFTER_GRANT_TTL).await;
 
-    let other = entry.reserve_at(OTHER, 2).await;
+    let other = entry.reserve_at(REMOTE, 2).await;
 
     assert_eq!(other, Ok(()));
 }
