--- a/components/agent/src/claims.rs
+++ b/components/agent/src/claims.rs
@@ -1,4 +1,7 @@
-//! Claims on the control thread: feeds their reducer and carries its effects out.
+//! Claims of idempotency keys: feeds their reducer on the control thread and carries out its effects.
+//!
+//! The home of a key is the agent that decides its claims. Homes follow from the members, so they
+//! change when an agent joins or leaves.
 
 use std::{
     collections::HashMap,
@@ -24,47 +27,51 @@
 
 use crate::control;
 
-/// Most claims that an agent remembers.
-const CLAIM_LIMIT: usize = 200_000;
-/// Longest wait for another agent to take a connection.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Longest wait for another agent's answer to a question; shorter than an entry waits for ours.
-const ASK_CALL: Duration = Duration::from_secs(1);
-/// Longest wait for another agent to take claims.
-const HAND_OVER_CALL: Duration = Duration::from_secs(5);
-
-/// What an agent says of its membership and its claims.
+/// Largest number of claims that an agent remembers.
+const MAX_CLAIMS: usize = 200_000;
+/// Timeout of a connection attempt to another agent.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of a question to another agent; shorter than the time that an entry process waits for
+/// this agent's answer.
+const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a call that hands claims over to another agent.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// State of an agent's membership and claims.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Status {
-    /// This run of the agent.
+    /// Incarnation of the agent: the id of its current run.
     pub incarnation: IncarnationId,
-    /// Membership epoch that is applied.
+    /// Membership epoch that is applied; 0 before the first.
     pub epoch: Offset,
-    /// Offset of this run's join, its fencing number; `None` while it is no member.
+    /// Offset of this incarnation's join, which is its fencing number; `None` while the agent isn't
+    /// a member.
     pub joined: Option<Offset>,
-    /// Whether another run of the same target's agent is a member.
+    /// Whether another incarnation of the same target's agent is a member instead.
     pub replaced: bool,
     /// Whether there are other members.
     pub has_others: bool,
-    /// Epoch under which all claims were handed over, if it still stands.
+    /// Epoch under which all claims were handed over; `None` if the epoch has changed since or claims
+    /// remain.
     pub handed_over: Option<Offset>,
 }
 
-/// What comes before the reducer of claims.
+/// Message to the reducer of claims.
 pub enum Message {
-    /// An entry asks for a key.
+    /// Claim of a key by an entry process.
     Claim { ask: Ask, reply: oneshot::Sender<Verdict> },
-    /// A later home asks for what is remembered.
+    /// Question of a key's later home about what this agent remembers of the key.
     Ask { question: Question, reply: oneshot::Sender<Answer> },
-    /// An entry tells what became of an attempt.
+    /// Report of an entry process on the result of an attempt.
     Settle { settle: Settle, reply: oneshot::Sender<bool> },
-    /// Give claims to the members that stay; answered once they have all arrived, or didn't.
+    /// Request to hand all claims over to the other members; the reply says whether all arrived.
     HandOver { reply: oneshot::Sender<bool> },
-    /// Anything that nobody waits for.
+    /// Event without a reply.
     Event(Event),
 }
 
-/// The reducer's state and those who wait for it.
+/// The reducer's state, the reply channels of undecided claims, and what is needed to carry out
+/// effects.
 pub struct Executor {
     state: State,
     target: TargetName,
@@ -76,7 +83,7 @@
     traffic: runtime::Handle,
 }
 
-/// Gives the claims of an agent that starts; must be called on the traffic runtime.
+/// Returns the executor of a new agent; must be called on the traffic runtime.
 pub fn open(
     target: TargetName,
     incarnation: IncarnationId,
@@ -85,10 +92,10 @@
     metrics: Arc<metrics::Agent>,
 ) -> Executor {
     Executor {
-        state: claim::open(Settings { incarnation, claims: CLAIM_LIMIT }),
+        state: claim::open(Settings { incarnation, claims: MAX_CLAIMS }),
         target,
         verdicts: HashMap::new(),
-        pool: Arc::new(pool::open(CONNECT, calls::connect)),
+        pool: Arc::new(pool::open(CONNECT_TIMEOUT, calls::connect)),
         control,
         status,
         metrics,
@@ -97,9 +104,9 @@
 }
 
 impl Executor {
-    /// Takes one message in and carries out what follows. A reader that went away needs no
-    /// answer: it asks again, or its question counts as unanswered.
-    pub fn take(&mut self, message: Message) {
+    /// Feeds one message to the reducer and carries out the effects. A failed send of a reply is
+    /// ignored: the caller is gone and either asks again or counts its question as unanswered.
+    pub fn handle(&mut self, message: Message) {
         match message {
             Message::Claim { ask, reply } => {
                 self.verdicts.entry(ask.attempt).or_default().push(reply);
@@ -129,7 +136,8 @@
         self.publish();
     }
 
-    /// Feeds the reducer and carries out all effects but those that answer its caller.
+    /// Feeds an event to the reducer and carries out the effects, except those that answer the
+    /// caller, which are returned.
     fn reduce(&mut self, event: Event) -> Vec<Effect> {
         let clock = Clock { now: Instant::now(), wall: SystemTime::now() };
         let mut answers = Vec::new();
@@ -160,20 +168,20 @@
     }
 
     fn hand_over(&mut self, reply: oneshot::Sender<bool>) {
-        let given = self.reduce(Event::HandOver);
+        let effects = self.reduce(Event::HandOver);
         let pool = Arc::clone(&self.pool);
         let control = self.control.clone();
         self.traffic.spawn(async move {
-            let mut arrived = true;
-            for effect in given {
+            let mut all_arrived = true;
+            for effect in effects {
                 if let Effect::HandOver { address, claims } = effect {
-                    arrived &= give(&pool, address, claims).await;
+                    all_arrived &= hand_over(&pool, address, claims).await;
                 }
             }
-            if !arrived {
+            if !all_arrived {
                 control.claims(Message::Event(Event::HandOverFailed));
             }
-            let _ = reply.send(arrived);
+            let _ = reply.send(all_arrived);
         });
     }
 
@@ -196,22 +204,24 @@
     }
 }
 
+/// Asks an earlier home of a key; returns `None` if it doesn't answer.
 async fn ask(pool: &Pool<AgentClient>, address: SocketAddr, question: Question) -> Option<Answer> {
     let answer = match pool.client(address).await {
-        Ok(client) => client.ask_claim(context(ASK_CALL), question).await.map_err(Error::Call),
+        Ok(client) => client.ask_claim(context(ASK_TIMEOUT), question).await.map_err(Error::Call),
         Err(error) => Err(error),
     };
     if let Err(error) = &answer {
-        debug!(%address, %error, "an earlier home can't be asked");
+        debug!(%address, %error, "an earlier home of a key doesn't answer");
         pool.forget(address).await;
     }
     answer.ok()
 }
 
-async fn give(pool: &Pool<AgentClient>, address: SocketAddr, claims: Vec<Transfer>) -> bool {
+/// Hands claims over to another agent; returns whether they arrived.
+async fn hand_over(pool: &Pool<AgentClient>, address: SocketAddr, claims: Vec<Transfer>) -> bool {
     let Ok(client) = pool.client(address).await else {
         return false;
     };
-    let given = client.hand_over(context(HAND_OVER_CALL), claims).await;
-    given.is_ok()
+    let answer = client.hand_over(context(HAND_OVER_TIMEOUT), claims).await;
+    answer.is_ok()
 }
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: owns the reducer's state, takes events in and carries effects out.
+//! The control thread: owns the admission reducer's state, feeds it events and carries out the
+//! effects that it returns.
 
 use std::{
     collections::HashMap,
@@ -29,21 +30,24 @@
 
 use crate::{claims, crashes, orders};
 
-/// Longest sleep of the control thread, in case no timer is due.
-const IDLE: Duration = Duration::from_secs(60);
+/// Longest sleep of the control thread while no timer is due.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// What an agent says of itself.
+/// Current state of an agent, for entry processes and operators.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Status {
-    /// Its load.
+    /// Load of the target: running and waiting reservations and what entry processes need for
+    /// their choice of a target.
     pub load: Load,
-    /// Whether it takes no new reservations.
+    /// Whether the agent rejects new reservations because it is about to stop.
     pub draining: bool,
-    /// Whether nothing waits or runs any more, and nothing will.
+    /// Whether draining is complete: no reservation waits or runs, and no new one is accepted.
     pub drained: bool,
 }
 
+/// Answer to a reservation.
 type Granted = Result<Grant, Denial>;
+/// Answer to a start: the run, or the state of the reservation that forbids the start.
 type Started = Result<Run, Fate>;
 
 enum Message {
@@ -53,22 +57,22 @@
     Settle { id: Id, reply: oneshot::Sender<Fate> },
     Event(Event),
     Claims(claims::Message),
-    Confirmed { asked: Instant },
+    MembershipConfirmed { asked: Instant },
     Orders(order::Event),
     Ended { id: Id, finish: Finish },
     Close(oneshot::Sender<()>),
-    Died(oneshot::Sender<Crash>),
+    TargetDied(oneshot::Sender<Crash>),
 }
 
-/// Who waits for the answer to the message that is being reduced.
+/// Reply channel of the message that is being reduced.
 enum Reply {
-    Nobody,
+    None,
     Start { run: Run, reply: oneshot::Sender<Started> },
     Fate(oneshot::Sender<Fate>),
     Crash(oneshot::Sender<Crash>),
 }
 
-/// Speaks to the control thread; clones speak to the same one.
+/// Sends messages to the control thread; clones share the thread.
 #[derive(Clone)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
@@ -76,35 +80,38 @@
     members: watch::Receiver<claims::Status>,
 }
 
-/// A request that may be dispatched; once it is, dropping it tells the reducer that the target is
-/// done with it. It travels in its own reply, so that a reader who went away frees the room too.
+/// A request that may be dispatched. Once it is dispatched, dropping this value reports to the
+/// reducer that the target has finished the request. The value is sent as the reply to the start, so
+/// that its slot is also released if the receiver of the reply is gone.
 pub struct Run {
     id: Id,
     control: Handle,
-    dispatched: bool,
+    is_dispatched: bool,
     finish: Finish,
 }
 
-/// A reservation that is waited for; dropping it cancels the reservation.
-struct Wait {
+/// Cancels a waiting reservation when it is dropped.
+struct CancelOnDrop {
     id: Id,
     control: Handle,
-    armed: bool,
+    /// Whether the reservation is still unanswered, so that dropping this value cancels it.
+    is_waiting: bool,
 }
 
 struct Thread {
     state: State,
     recorder: Recorder,
-    /// Where evidence goes; `None` once the chain is closed.
+    /// Buffer for evidence records; `None` once the chain of evidence is closed.
     evidence: Option<Buffer>,
     status: watch::Sender<Status>,
     metrics: Arc<metrics::Agent>,
-    granting: HashMap<Id, oneshot::Sender<Granted>>,
+    /// Reply channels of the waiting reservations.
+    waiting_replies: HashMap<Id, oneshot::Sender<Granted>>,
     claims: claims::Executor,
     members: watch::Receiver<claims::Status>,
     orders: orders::Executor,
     crashes: crashes::Executor,
-    drained: bool,
+    is_drained: bool,
 }
 
 /// Starts the control thread.
@@ -140,12 +147,12 @@
         evidence: Some(evidence),
         status,
         metrics,
-        granting: HashMap::new(),
+        waiting_replies: HashMap::new(),
         claims,
         members: handle.members.clone(),
         orders,
         crashes: crashes::executor(settings),
-        drained: false,
+        is_drained: false,
     };
     let runtime = runtime::Builder::new_current_thread().enable_time().build()?;
     thread::Builder::new()
@@ -155,105 +162,107 @@
 }
 
 impl Handle {
-    /// Waits for room; dropping the future cancels the reservation. `None` where the control
-    /// thread ended.
+    /// Waits until the reservation is granted or denied; dropping the future cancels it. Returns
+    /// `None` if the control thread ended.
     pub async fn reserve(&self, ask: Ask) -> Option<Granted> {
-        let mut wait = Wait { id: ask.id, control: self.clone(), armed: true };
+        let mut guard = CancelOnDrop { id: ask.id, control: self.clone(), is_waiting: true };
         let (reply, answer) = oneshot::channel();
         self.send(Message::Reserve { ask, reply });
         let granted = answer.await.ok();
-        wait.armed = false;
+        guard.is_waiting = false;
         granted
     }
 
-    /// Takes a granted reservation to its start, or tells why it may not start.
+    /// Starts a granted reservation; returns the reservation's state if it may not start.
     pub async fn start(&self, id: Id) -> Result<Run, Fate> {
         let (reply, answer) = oneshot::channel();
-        let run = Run { id, control: self.clone(), dispatched: false, finish: Finish::default() };
+        let run =
+            Run { id, control: self.clone(), is_dispatched: false, finish: Finish::default() };
         self.send(Message::Start { run, reply });
         answer.await.unwrap_or(Err(Fate::Unknown))
     }
 
-    /// Gives a reservation up.
+    /// Cancels a reservation unless it has started; returns its state.
     pub async fn cancel(&self, id: Id) -> Fate {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Cancel { id, reply: Some(reply) });
         answer.await.unwrap_or(Fate::Unknown)
     }
 
-    /// Tells what became of a reservation; one that hasn't started never will.
+    /// Returns the state of a reservation and cancels it unless it has started, so that the answer
+    /// is final.
     pub async fn settle(&self, id: Id) -> Fate {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Settle { id, reply });
         answer.await.unwrap_or(Fate::Unknown)
     }
 
-    /// Feeds an event to the reducer that nobody waits for.
+    /// Feeds an event to the admission reducer without waiting for its effects.
     pub fn event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
-    /// What the agent says of itself.
+    /// Returns the agent's current load and whether it drains.
     pub fn status(&self) -> Status {
         *self.status.borrow()
     }
 
-    /// What the agent says of its membership and its claims.
+    /// Returns a receiver for changes of the agent's membership and claims.
     pub fn members(&self) -> watch::Receiver<claims::Status> {
         self.members.clone()
     }
 
-    /// Brings a message before the reducer of claims.
+    /// Feeds a message to the reducer of claims.
     pub fn claims(&self, message: claims::Message) {
         self.send(Message::Claims(message));
     }
 
-    /// Tells that the membership stream was read to its end, by a call that began at `asked`.
+    /// Reports that the membership stream was read to its end by a call that began at `asked`.
     pub fn confirm_membership(&self, asked: Instant) {
-        self.send(Message::Confirmed { asked });
+        self.send(Message::MembershipConfirmed { asked });
     }
 
-    /// Tells that the target takes no connection any more; gives what has to be recorded, if
-    /// that isn't told already.
+    /// Reports that the target accepts no connections any more. Returns the crash to record; `None`
+    /// if an earlier report has returned it already.
     pub async fn died(&self) -> Option<Crash> {
         let (reply, answer) = oneshot::channel();
-        self.send(Message::Died(reply));
+        self.send(Message::TargetDied(reply));
         answer.await.ok()
     }
 
-    /// Brings an event before the reducer of orders.
+    /// Feeds an event to the reducer of orders.
     pub fn orders(&self, event: order::Event) {
         self.send(Message::Orders(event));
     }
 
-    /// Asks the reducer to take no new reservation.
+    /// Rejects new reservations from now on.
     pub fn start_drain(&self) {
         self.send(Message::Event(Event::Drain));
     }
 
-    /// Closes the chain of evidence: nothing is recorded after this.
+    /// Closes the chain of evidence; nothing is recorded afterwards.
     pub async fn close(&self) {
         let (closed, wait) = oneshot::channel();
         self.send(Message::Close(closed));
-        // An error means that the control thread ended, which records nothing more either.
+        // An error means that the control thread ended; then nothing more is recorded either.
         let _ = wait.await;
     }
 
-    /// Waits until nothing waits or runs.
+    /// Waits until draining is complete: no reservation waits or runs.
     pub async fn drained(&self) {
         let mut status = self.status.clone();
-        // An error means that the control thread ended, and with it all reservations.
+        // An error means that the control thread ended, which ends all reservations.
         let _ = status.wait_for(|status| status.drained).await;
     }
 
     fn send(&self, message: Message) {
-        // The thread ends only with the process; a message after that has no reader to reach.
+        // The thread ends only with the process, so a failed send needs no handling.
         let _ = self.messages.send(message);
     }
 }
 
 impl Run {
-    /// Tells what came of it, for the evidence.
+    /// Sets the result of the run, which goes into the evidence.
     pub fn finish(&mut self, finish: Finish) {
         self.finish = finish;
     }
@@ -261,7 +270,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        if self.dispatched {
+        if self.is_dispatched {
             if self.finish.digest.is_some() {
                 self.control.event(Event::Served(self.id));
             }
@@ -270,9 +279,9 @@
     }
 }
 
-impl Drop for Wait {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        if self.armed {
+        if self.is_waiting {
             self.control.send(Message::Cancel { id: self.id, reply: None });
         }
     }
@@ -283,33 +292,33 @@
         loop {
             let wakes = [agent::next_wake(&self.state), self.orders.next_wake()];
             let wake = wakes.into_iter().flatten().min();
-            let wake = wake.unwrap_or_else(|| Instant::now() + IDLE);
+            let wake = wake.unwrap_or_else(|| Instant::now() + MAX_SLEEP);
             let message = tokio::select! {
                 message = inbox.recv() => message,
                 () = sleep_until(wake.into()) => Some(Message::Event(Event::Tick)),
             };
             match message {
                 None => return,
-                Some(message) => self.take(message),
+                Some(message) => self.handle(message),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let message = match message {
-            Message::Claims(message) => return self.claims.take(message),
+            Message::Claims(message) => return self.claims.handle(message),
             Message::Close(closed) => return self.close(closed),
-            Message::Orders(event) => return self.orders.take(event),
-            Message::Confirmed { asked } => {
+            Message::Orders(event) => return self.orders.handle(event),
+            Message::MembershipConfirmed { asked } => {
                 let fence = self.members.borrow().joined;
-                return self.orders.take(order::Event::Confirmed { asked, fence });
+                return self.orders.handle(order::Event::Confirmed { asked, fence });
             }
             other => other,
         };
         if matches!(message, Message::Event(Event::Tick)) {
-            self.orders.take(order::Event::Tick);
+            self.orders.handle(order::Event::Tick);
         }
-        let (event, mut reply) = self.open(message);
+        let (event, mut reply) = self.split(message);
         let (now, at) = (Instant::now(), SystemTime::now());
         let step = recorder::reduce(&mut self.recorder, &mut self.state, now, at, event);
         if let Some(evidence) = &self.evidence {
@@ -328,33 +337,34 @@
         let _ = closed.send(());
     }
 
-    fn open(&mut self, message: Message) -> (Event, Reply) {
+    /// Splits a message into the reducer's event and the reply channel, if it has one.
+    fn split(&mut self, message: Message) -> (Event, Reply) {
         match message {
             Message::Reserve { ask, reply } => {
-                self.granting.insert(ask.id, reply);
-                (Event::Reserve(ask), Reply::Nobody)
+                self.waiting_replies.insert(ask.id, reply);
+                (Event::Reserve(ask), Reply::None)
             }
             Message::Start { run, reply } => (Event::Start(run.id), Reply::Start { run, reply }),
             Message::Cancel { id, reply } => {
-                self.granting.remove(&id);
-                (Event::Cancel(id), reply.map_or(Reply::Nobody, Reply::Fate))
+                self.waiting_replies.remove(&id);
+                (Event::Cancel(id), reply.map_or(Reply::None, Reply::Fate))
             }
             Message::Settle { id, reply } => (Event::Settle(id), Reply::Fate(reply)),
-            Message::Event(event) => (event, Reply::Nobody),
+            Message::Event(event) => (event, Reply::None),
             Message::Ended { id, finish } => {
                 self.recorder.finished(id, finish);
-                (Event::Ended(id), Reply::Nobody)
+                (Event::Ended(id), Reply::None)
             }
-            Message::Died(reply) => (Event::Died, Reply::Crash(reply)),
+            Message::TargetDied(reply) => (Event::Died, Reply::Crash(reply)),
             Message::Claims(_)
             | Message::Close(_)
-            | Message::Confirmed { .. }
-            | Message::Orders(_) => (Event::Tick, Reply::Nobody),
+            | Message::MembershipConfirmed { .. }
+            | Message::Orders(_) => (Event::Tick, Reply::None),
         }
     }
 
-    /// Carries one effect out; gives back who still waits for an answer. A reader that went
-    /// away needs none: its grant lapses, and its question may be asked again.
+    /// Carries out one effect and returns the reply channel if it is still unused. A failed send is
+    /// ignored because the caller is gone: its grant expires, and a question may be asked again.
     fn carry_out(&mut self, effect: Effect, reply: Reply) -> Reply {
         match (effect, reply) {
             (Effect::Grant { id, grant }, reply) => {
@@ -367,29 +377,29 @@
             }
             (Effect::Dispatch(_), Reply::Start { mut run, reply }) => {
                 self.metrics.dispatched.inc();
-                run.dispatched = true;
+                run.is_dispatched = true;
                 let _ = reply.send(Ok(run));
-                Reply::Nobody
+                Reply::None
             }
             (Effect::DenyStart { fate, .. }, Reply::Start { reply, .. }) => {
                 let _ = reply.send(Err(fate));
-                Reply::Nobody
+                Reply::None
             }
             (Effect::Tell { fate, .. }, Reply::Fate(sender)) => {
                 let _ = sender.send(fate);
-                Reply::Nobody
+                Reply::None
             }
             (Effect::Crash { running, alone }, Reply::Crash(sender)) => {
-                // Whoever asked may have gone; the bodies stay suspected at the entries.
+                // The caller may be gone; then the entry processes still suspect the bodies.
                 let _ = sender.send(self.crashes.crash(running, alone));
-                Reply::Nobody
+                Reply::None
             }
             (Effect::Clear(body), reply) => {
                 self.crashes.clear(body);
                 reply
             }
             (Effect::Drained, reply) => {
-                self.drained = true;
+                self.is_drained = true;
                 reply
             }
             (_, reply) => reply,
@@ -397,7 +407,7 @@
     }
 
     fn answer(&mut self, id: Id, granted: Granted) {
-        if let Some(reply) = self.granting.remove(&id) {
+        if let Some(reply) = self.waiting_replies.remove(&id) {
             let _ = reply.send(granted);
         }
     }
@@ -406,7 +416,7 @@
         let load = self.state.load();
         self.metrics.running.set(load.running.into());
         self.metrics.waiting.set(load.waiting.into());
-        let status = Status { load, draining: self.state.is_draining(), drained: self.drained };
+        let status = Status { load, draining: self.state.is_draining(), drained: self.is_drained };
         self.status.send_if_modified(|old| std::mem::replace(old, status) != status);
     }
 }
--- a/components/agent/src/crashes.rs
+++ b/components/agent/src/crashes.rs
@@ -1,4 +1,5 @@
-//! Finds out whether a broken connection means that the target died, and records what it ran.
+//! Detects whether a broken connection means that the target died, and records the requests that it
+//! was running.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,45 +22,46 @@
 
 use crate::control;
 
-/// Longest wait for the target to take a connection.
-const PROBE: Duration = Duration::from_millis(200);
-/// Time between two probes.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for the log to take a record; the caller's refusal waits for it.
-const APPEND: Duration = Duration::from_secs(1);
+/// Timeout of a connection attempt that probes the target.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time between the two probes of one check.
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of appending a record to the log; the refusal to the caller is delayed until then.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Looks after broken connections.
+/// Checks the target after a broken connection.
 pub struct Watch {
     engine: SocketAddr,
     log: Client,
     control: control::Handle,
 }
 
-/// Carries out the effects of the reducer: writes the records that it asks for.
+/// Carries out the reducer's effects on the crash records.
 pub struct Executor {
     target: TargetName,
     log: Client,
     traffic: runtime::Handle,
 }
 
-/// Gives the watch over a target.
+/// Returns the watch over a target.
 pub fn watch(settings: &settings::Agent, control: control::Handle) -> Watch {
     let log = log::open(&settings.platform.log);
     Watch { engine: settings.engine.address, log, control }
 }
 
-/// Gives the writer of records; must be called on the traffic runtime.
+/// Returns the executor of a new agent; must be called on the traffic runtime.
 pub fn executor(settings: &settings::Agent) -> Executor {
     let log = log::open(&settings.platform.log);
     Executor { target: settings.target.clone(), log, traffic: runtime::Handle::current() }
 }
 
 impl Watch {
-    /// Looks into a run whose connection broke. It returns once a crash is on record, or can't be
-    /// put there in time, so that whoever sends the request again is met by the record.
-    pub async fn look(&self, id: Id) {
+    /// Checks whether the target died when the connection of a run broke. Returns only after a crash
+    /// is recorded or recording it timed out, so that a caller that sends the request again finds
+    /// the record.
+    pub async fn check(&self, id: Id) {
         self.control.event(Event::Lost(id));
-        if self.lives().await {
+        if self.is_alive().await {
             return self.control.event(Event::Lives);
         }
         if let Some(crash) = self.control.died().await {
@@ -70,40 +72,42 @@
 }
 
 impl Watch {
-    /// A process that dies may close a connection before its listener: one answer isn't enough.
-    async fn lives(&self) -> bool {
-        let takes = async || {
-            let probe = timeout(PROBE, TcpStream::connect(self.engine)).await;
+    /// Returns whether the target accepts connections. Probes twice, because a dying process may
+    /// close its connections before its listener.
+    async fn is_alive(&self) -> bool {
+        let accepts_connection = async || {
+            let probe = timeout(PROBE_TIMEOUT, TcpStream::connect(self.engine)).await;
             matches!(probe, Ok(Ok(_)))
         };
-        takes().await && {
-            sleep(PAUSE).await;
-            takes().await
+        accepts_connection().await && {
+            sleep(PROBE_INTERVAL).await;
+            accepts_connection().await
         }
     }
 }
 
 impl Executor {
-    /// The record of a crash.
+    /// Returns the record of a crash in which the target was running the given bodies.
     pub fn crash(&self, running: Vec<Fingerprint>, alone: bool) -> Crash {
         Crash { target: self.target.clone(), running, alone }
     }
 
-    /// Records that a suspected body ran alone to its end.
+    /// Records that a suspected body ran alone and got a complete answer, which clears it.
     pub fn clear(&self, fingerprint: Fingerprint) {
-        info!("a suspected body ran alone to its end");
+        info!("a suspected body ran alone and completed");
         let log = self.log.clone();
         let clear = Action::Clear(Clear { fingerprint });
         self.traffic.spawn(async move { append(&log, clear).await });
     }
 }
 
+/// Appends a record about a crash; a failure is only logged.
 async fn append(log: &Client, action: Action) {
     let record = Record { schema: SCHEMA, action };
     let payload = serde_json::to_string(&record).expect("a record is JSON");
-    match timeout(APPEND, log.append(CRASHES, &payload)).await {
+    match timeout(APPEND_TIMEOUT, log.append(CRASHES, &payload)).await {
         Ok(Ok(_)) => {}
-        Ok(Err(error)) => warn!(%error, "a record about a crash may be lost"),
-        Err(_) => warn!("the log is slow; a record about a crash may be lost"),
+        Ok(Err(error)) => warn!(%error, "appending a crash record failed; it may be lost"),
+        Err(_) => warn!("appending a crash record timed out; it may be lost"),
     }
 }
--- a/components/agent/src/engine.rs
+++ b/components/agent/src/engine.rs
@@ -1,4 +1,5 @@
-//! Calls to the engine or plain service: one connection for each call, never a second try.
+//! HTTP calls to the target, which is an engine or a plain service. Each call has a connection of
+//! its own and is never retried.
 
 use std::net::SocketAddr;
 
@@ -14,7 +15,7 @@
 use model::refusal::Ran;
 use thiserror::Error;
 
-/// Why a call had no answer.
+/// Error of a call that got no answer.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// the method or the path can't be sent: {0}
@@ -26,7 +27,7 @@
 }
 
 impl Error {
-    /// Whether the request may have reached the target.
+    /// Returns whether the target may have run the request.
     pub fn ran(&self) -> Ran {
         match self {
             Error::Malformed(_) | Error::Connect => Ran::NotRun,
@@ -35,32 +36,32 @@
     }
 }
 
-/// What is sent to the target.
+/// A request to the target.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// HTTP method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request's URL.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body of the request.
     pub body: Bytes,
 }
 
-/// Sends calls to one target.
+/// HTTP client of one target.
 #[derive(Clone)]
 pub struct Engine {
     address: SocketAddr,
     http: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// Gives the way to a target; nothing is sent yet.
+/// Returns a client for the target at an address; it connects with the first call.
 pub fn open(address: SocketAddr) -> Engine {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    // A pooled connection may die under a call and leave it in doubt; a fresh one that can't be
-    // opened proves that nothing was sent.
+    // A pooled connection may break during a call, so that it is uncertain whether the call ran. A
+    // new connection that can't be opened proves that nothing was sent.
     let http = Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(0)
         .retry_canceled_requests(false)
@@ -69,7 +70,8 @@
 }
 
 impl Engine {
-    /// Sends one call and waits for the head of its answer.
+    /// Sends one call and waits for the status and headers of the answer; the body may be
+    /// incomplete at that time.
     pub async fn call(&self, call: Call) -> Result<Response<Incoming>, Error> {
         let mut request = Request::builder()
             .method(call.method)
--- a/components/agent/src/lib.rs
+++ b/components/agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The agent: the process beside a target, and the only way to it.
+//! The agent: the process that runs next to a target and through which all requests to the target
+//! pass.
 
 pub mod admission;
 mod claims;
@@ -25,7 +26,7 @@
 
 pub use control::Status;
 
-/// Why an agent can't run.
+/// Error that keeps an agent from starting or makes its shutdown fail.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// can't listen or start the control thread: {0}
@@ -36,50 +37,50 @@
     Server(String),
 }
 
-/// A running agent.
+/// Handle of a running agent.
 pub struct Handle {
-    /// Where entries make control calls.
+    /// Address on which entry processes make control calls.
     pub control_address: SocketAddr,
-    /// Where entries send bodies.
+    /// Address on which entry processes send request bodies.
     pub traffic_address: SocketAddr,
-    /// Where health and metrics are read.
+    /// Address on which operators read health and metrics.
     pub operator_address: SocketAddr,
     control: control::Handle,
     config: config::Handle,
-    members: membership::Handle,
+    membership: membership::Handle,
     outbox: outbox::Handle,
-    calls: service::Handle,
-    traffic: server::Handle,
-    operators: HttpServer<Arc<operator::Context>>,
+    control_server: service::Handle,
+    traffic_server: server::Handle,
+    operator_server: HttpServer<Arc<operator::Context>>,
 }
 
-/// Starts an agent on the current `tokio` runtime, which becomes its traffic threads.
+/// Starts an agent on the current `tokio` runtime, whose threads then carry its traffic.
 pub async fn spawn(settings: settings::Agent) -> Result<Handle, Error> {
     let metrics = Arc::new(metrics::agent::open());
     let incarnation = Uuid::new_v4();
     let outbox = outbox::open(&settings, incarnation);
     let buffer = outbox.buffer();
     let control = control::spawn(&settings, incarnation, Arc::clone(&metrics), buffer)?;
-    let copy = config::spawn(&settings, &control);
+    let config = config::spawn(&settings, &control);
     let server = service::Server {
         target: settings.target.clone(),
         control: control.clone(),
-        config: copy.clone(),
+        config: config.clone(),
         outbox: outbox.clone(),
     };
-    let calls = service::bind(settings.listen.control, server).await?;
+    let control_server = service::bind(settings.listen.control, server).await?;
     let context = Arc::new(traffic::Context {
         control: control.clone(),
         engine: engine::open(settings.engine.address),
         crashes: crashes::watch(&settings, control.clone()),
         metrics: Arc::clone(&metrics),
     });
-    let traffic = server::bind(settings.listen.traffic, context).await?;
-    let operators = serve_operators(&settings, &control, metrics)?;
-    let control_address = calls.address;
-    let members = membership::spawn(&settings, incarnation, control_address, control.clone());
-    let traffic_address = traffic.address;
-    let operator_address = operators.local_addr();
+    let traffic_server = server::bind(settings.listen.traffic, context).await?;
+    let operator_server = serve_operators(&settings, &control, metrics)?;
+    let control_address = control_server.address;
+    let membership = membership::spawn(&settings, incarnation, control_address, control.clone());
+    let traffic_address = traffic_server.address;
+    let operator_address = operator_server.local_addr();
     info!(
         target = settings.target,
         control = %control_address,
@@ -92,12 +93,12 @@
         traffic_address,
         operator_address,
         control,
-        config: copy,
-        members,
+        config,
+        membership,
         outbox,
-        calls,
-        traffic,
-        operators,
+        control_server,
+        traffic_server,
+        operator_server,
     })
 }
 
@@ -114,22 +115,23 @@
 }
 
 impl Handle {
-    /// What the agent says of itself now.
+    /// Returns the agent's current load and whether it drains.
     pub fn status(&self) -> Status {
         self.control.status()
     }
 
-    /// Takes no new reservation, finishes the running set, hands claims over, and ends.
+    /// Stops gracefully: rejects new reservations, waits for the running requests, hands the
+    /// idempotency claims over to other agents, and appends the remaining evidence to the log.
     pub async fn drain(self) -> Result<(), Error> {
         info!(running = self.control.status().load.running, "draining");
         self.control.start_drain();
         self.control.drained().await;
-        self.members.leave().await;
-        self.traffic.close().await;
+        self.membership.leave().await;
+        self.traffic_server.close().await;
         self.control.close().await;
         self.outbox.flush().await;
-        self.operators.close().await.map_err(Error::Server)?;
-        self.calls.stop();
+        self.operator_server.close().await.map_err(Error::Server)?;
+        self.control_server.stop();
         self.config.stop();
         info!("drained");
         Ok(())
--- a/components/agent/src/membership.rs
+++ b/components/agent/src/membership.rs
@@ -1,4 +1,4 @@
-//! Joins the members at the start, follows them, and leaves them at the end.
+//! Membership of the agent: joins at the start, follows the membership stream, and leaves at the end.
 
 use std::{
     net::SocketAddr,
@@ -28,16 +28,16 @@
     control,
 };
 
-/// Longest wait of one read of the log for a new record.
-const POLL: Duration = Duration::from_secs(2);
-/// Wait before an append is tried again.
-const BACKOFF: Duration = Duration::from_millis(200);
-/// Longest wait for an appended record to be read back.
-const READ_BACK: Duration = Duration::from_secs(2);
-/// Longest time that an agent tries to leave with its claims handed over.
+/// Longest time that one read of the log waits for a new record.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before a failed append or leave is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of reading back a record after it was appended.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which a leaving agent stops trying to hand its claims over.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running membership.
+/// Handle of the agent's running membership.
 pub struct Handle {
     log: Client,
     target: TargetName,
@@ -47,8 +47,8 @@
     join: JoinHandle<()>,
 }
 
-/// Starts to follow the members and to join them. Without the log the agent serves on, but grants
-/// no key.
+/// Starts to follow the membership stream and to join. While the log is unreachable the agent still
+/// serves requests, but grants no key.
 pub fn spawn(
     settings: &settings::Agent,
     incarnation: IncarnationId,
@@ -57,15 +57,15 @@
 ) -> Handle {
     let log = log::open(&settings.platform.log);
     let status = control.members();
-    let feed = control.clone();
-    let reader = tail::spawn(log.clone(), MEMBERSHIP, POLL, move |news| {
+    let stream_control = control.clone();
+    let reader = tail::spawn(log.clone(), MEMBERSHIP, POLL_TIMEOUT, move |news| {
         let confirmed = match news {
             News::Records(_) => None,
             News::CaughtUp { asked } => Some(asked),
         };
-        feed.claims(Message::Event(event(news)));
-        // After the records that it speaks of.
-        confirmed.into_iter().for_each(|asked| feed.confirm_membership(asked));
+        stream_control.claims(Message::Event(event(news)));
+        // The confirmation must follow the records that it covers.
+        confirmed.into_iter().for_each(|asked| stream_control.confirm_membership(asked));
     });
     let join = Join {
         target: settings.target.clone(),
@@ -74,33 +74,35 @@
         control: address,
     };
     let target = settings.target.clone();
-    let join = tokio::spawn(stay(log.clone(), join, control.clone()));
+    let join = tokio::spawn(keep_joined(log.clone(), join, control.clone()));
     Handle { log, target, control, status, reader, join }
 }
 
 impl Handle {
-    /// Hands all claims over and leaves, or gives up on that after a time.
+    /// Hands all claims over and leaves. After `LEAVE_TIMEOUT` it leaves without handing them over.
     pub async fn leave(mut self) {
         self.join.abort();
-        // Whether it is still a member afterwards tells what came of it; an append that is cut
-        // off here may take effect, and nothing is granted after it either way.
-        let _ = timeout(LEAVE_TIMEOUT, self.leave_in_order()).await;
+        // Success shows in whether the agent is still a member. An append that the timeout cancels
+        // may still take effect, but no key is granted after it in either case.
+        let _ = timeout(LEAVE_TIMEOUT, self.leave_with_hand_over()).await;
         if self.is_member() {
-            self.leave_alone().await;
+            self.leave_without_hand_over().await;
         }
         self.reader.abort();
     }
 
-    async fn leave_in_order(&mut self) {
+    /// Tries to leave until the agent is no longer a member. Returns at once if there are no other
+    /// members.
+    async fn leave_with_hand_over(&mut self) {
         while self.is_member() && self.status.borrow().has_others {
             if self.try_leave().await.is_err() {
-                sleep(BACKOFF).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// The snapshot while claims are still granted, then the tail once they aren't, then the
-    /// record that moves the keys.
+    /// Hands the claims over while new ones are still granted, then stops granting and hands over the
+    /// rest, then appends the record that moves the keys to the other members.
     async fn try_leave(&mut self) -> Result<(), log::Error> {
         self.hand_over().await;
         self.control.claims(Message::Event(Event::Freeze));
@@ -114,8 +116,8 @@
                 self.control.claims(Message::Event(Event::Thaw));
                 Err(error)
             }
-            // The record stands, or may stand: nothing is granted until another record has
-            // taken its place and it is known to have had no effect.
+            // The record is in the log or may be: no key is granted until a later epoch is applied
+            // and shows that the record had no effect.
             _ => {
                 self.wait_for(|status| status.epoch > epoch).await;
                 if self.is_member() && self.status.borrow().epoch > epoch {
@@ -126,20 +128,21 @@
         }
     }
 
-    /// Says only that nothing is granted any more; the claims are lost.
-    async fn leave_alone(&mut self) {
+    /// Leaves without handing claims over: stops granting keys and records the leave. The claims
+    /// are lost.
+    async fn leave_without_hand_over(&mut self) {
         self.control.claims(Message::Event(Event::Freeze));
-        match timeout(READ_BACK, self.append(None)).await {
-            Ok(Ok(offset)) => info!(offset, "left without a hand-over"),
-            Ok(Err(error)) => warn!(%error, "can't leave the members; the claims are lost"),
-            Err(_) => warn!("the log is too slow to leave the members; the claims are lost"),
+        match timeout(READ_BACK_TIMEOUT, self.append(None)).await {
+            Ok(Ok(offset)) => info!(offset, "left the membership without handing claims over"),
+            Ok(Err(error)) => warn!(%error, "recording the leave failed; the claims are lost"),
+            Err(_) => warn!("recording the leave timed out; the claims are lost"),
         }
     }
 
     async fn hand_over(&self) {
         let (reply, done) = oneshot::channel();
         self.control.claims(Message::HandOver { reply });
-        // Whether all arrived shows in the status.
+        // The status says whether all claims arrived.
         let _ = done.await;
     }
 
@@ -150,9 +153,9 @@
         append(&self.log, Action::Leave(leave)).await
     }
 
-    async fn wait_for(&mut self, done: impl FnMut(&Status) -> bool) {
-        // Running out of time shows in the status.
-        let _ = timeout(READ_BACK, self.status.wait_for(done)).await;
+    async fn wait_for(&mut self, condition: impl FnMut(&Status) -> bool) {
+        // After a timeout the status still lacks the change, which callers check.
+        let _ = timeout(READ_BACK_TIMEOUT, self.status.wait_for(condition)).await;
     }
 
     fn is_member(&self) -> bool {
@@ -160,9 +163,9 @@
     }
 }
 
-/// Joins, and joins again as a new run whenever another process took this one for lost. A run
-/// whose successor has joined stays out.
-async fn stay(log: Client, mut join: Join, control: control::Handle) {
+/// Joins, and joins again as a new incarnation whenever another process has declared this agent
+/// lost. Doesn't join again once another agent of the same target has joined.
+async fn keep_joined(log: Client, mut join: Join, control: control::Handle) {
     let mut status = control.members();
     loop {
         join_members(&log, &join, &mut status).await;
@@ -174,27 +177,28 @@
             warn!("another agent of the same target has joined; this one grants no key any more");
             return;
         }
-        warn!("another process took this agent for lost; joining again");
+        warn!("another process declared this agent lost; joining again");
         join.incarnation = Uuid::new_v4();
         control.claims(Message::Event(Event::Rejoin(join.incarnation)));
     }
 }
 
-/// Appends the join until it is read back; a repeat has no second effect.
+/// Appends the join record until it is read back; appending the record repeatedly has no further
+/// effect.
 async fn join_members(log: &Client, join: &Join, status: &mut watch::Receiver<Status>) {
     while status.borrow().joined.is_none() {
         match append(log, Action::Join(join.clone())).await {
             Ok(offset) => {
-                // Running out of time means another try.
-                let _ = timeout(READ_BACK, status.wait_for(|s| s.epoch >= offset)).await;
+                // After a timeout the loop appends the record again.
+                let _ = timeout(READ_BACK_TIMEOUT, status.wait_for(|s| s.epoch >= offset)).await;
             }
             Err(error) => {
-                warn!(%error, "can't join the members now");
-                sleep(BACKOFF).await;
+                warn!(%error, "joining the membership failed; retrying");
+                sleep(RETRY_DELAY).await;
             }
         }
     }
-    info!(joined = status.borrow().joined, "joined the members");
+    info!(joined = status.borrow().joined, "joined the membership");
 }
 
 async fn append(log: &Client, action: Action) -> Result<Offset, log::Error> {
--- a/components/agent/src/operator.rs
+++ b/components/agent/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' server: health and metrics.
+//! The HTTP server for operators: health and metrics.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 
 use crate::control;
 
-/// What the endpoints share.
+/// State that the endpoints share.
 pub struct Context {
-    /// The control thread.
+    /// Control thread of the agent.
     pub control: control::Handle,
-    /// The metrics.
+    /// Metrics of the agent.
     pub metrics: Arc<metrics::Agent>,
 }
 
-/// Describes the endpoints.
+/// Returns the description of all endpoints.
 pub fn api() -> ApiDescription<Arc<Context>> {
     let mut api = ApiDescription::new();
     api.register(live).expect("the path is free");
@@ -24,13 +24,13 @@
     api
 }
 
-/// Whether the process runs.
+/// Answers that the process runs.
 #[endpoint { method = GET, path = "/health/live" }]
 async fn live(_context: RequestContext<Arc<Context>>) -> Result<Response<Body>, HttpError> {
     text(StatusCode::OK, "live\n".to_owned())
 }
 
-/// Whether reservations are taken.
+/// Answers whether the agent accepts new reservations.
 #[endpoint { method = GET, path = "/health/ready" }]
 async fn ready(context: RequestContext<Arc<Context>>) -> Result<Response<Body>, HttpError> {
     match context.context().control.status().draining {
@@ -39,7 +39,7 @@
     }
 }
 
-/// All metrics in the text format of Prometheus.
+/// Returns all metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn metrics_text(context: RequestContext<Arc<Context>>) -> Result<Response<Body>, HttpError> {
     text(StatusCode::OK, context.context().metrics.render())
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders on the control thread, and the calls to the engine that carry them out.
+//! Setup orders to the engine, such as to load a model: feeds their reducer on the control thread and
+//! makes the calls to the engine that carry the orders out.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -20,29 +21,29 @@
 
 use crate::control;
 
-/// Where an engine takes orders and tells its setup.
-const PATH: &str = "/v1/setup";
-/// Longest wait for an engine's answer; loading goes on after it.
-const CALL: Duration = Duration::from_secs(5);
+/// Path on which an engine accepts orders and returns its setup.
+const SETUP_PATH: &str = "/v1/setup";
+/// Timeout of a call to the engine; an engine continues to load a model after it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an engine didn't do as told.
+/// Error of a call to the engine.
 #[derive(Debug, Display, Error)]
 enum Fault {
-    /// it takes no connection: {0}
+    /// can't connect to the engine: {0}
     Connect(#[from] std::io::Error),
     /// the call failed: {0}
     Call(#[from] hyper::Error),
-    /// it answered {0}
+    /// the engine answered with status {0}
     Status(StatusCode),
-    /// its setup can't be read: {0}
+    /// the engine's setup can't be parsed: {0}
     Setup(#[from] serde_json::Error),
-    /// the lease ran out before the order was written
+    /// the lease expired before the order was sent
     Lease,
-    /// it didn't answer in time
-    Late,
+    /// the engine didn't answer in time
+    Timeout,
 }
 
-/// The reducer's state and the way to the engine.
+/// The reducer's state and what is needed to carry out its effects.
 pub struct Executor {
     state: State,
     engine: SocketAddr,
@@ -50,7 +51,7 @@
     traffic: runtime::Handle,
 }
 
-/// Gives the orders of an agent that starts; must be called on the traffic runtime.
+/// Returns the executor of a new agent; must be called on the traffic runtime.
 pub fn open(engine: settings::agent::Engine, control: control::Handle) -> Executor {
     Executor {
         state: order::open(Instant::now(), engine.checks_fence),
@@ -61,8 +62,8 @@
 }
 
 impl Executor {
-    /// Takes one event in and carries out what follows.
-    pub fn take(&mut self, event: Event) {
+    /// Feeds one event to the reducer and carries out the resulting effect, if any.
+    pub fn handle(&mut self, event: Event) {
         let Some(effect) = order::reduce(&mut self.state, Instant::now(), event) else {
             return;
         };
@@ -71,7 +72,7 @@
         self.traffic.spawn(async move { control.orders(carry_out(engine, effect).await) });
     }
 
-    /// When a tick is due.
+    /// Returns when the next tick is due; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Instant> {
         order::next_wake(&self.state)
     }
@@ -82,7 +83,9 @@
         Effect::Read => {
             let read = within(call(engine, Method::GET, Bytes::new(), None)).await;
             let setup = read.and_then(|body| Ok(serde_json::from_slice::<Setup>(&body)?));
-            Event::Read(setup.inspect_err(|error| warn!(%error, "the engine tells no setup")).ok())
+            Event::Read(
+                setup.inspect_err(|error| warn!(%error, "reading the engine's setup failed")).ok(),
+            )
         }
         Effect::Send { order, fence, until } => {
             let body = serde_json::to_vec(&Fenced { fence, order: order.clone() });
@@ -90,7 +93,7 @@
             let sent = within(call(engine, Method::POST, body, until)).await;
             match &sent {
                 Ok(_) => info!(?order, fence, "order carried out"),
-                Err(error) => warn!(?order, fence, %error, "order not known to be carried out"),
+                Err(error) => warn!(?order, fence, %error, "the engine did not confirm the order"),
             }
             Event::Ended { done: sent.is_ok() }
         }
@@ -98,10 +101,10 @@
 }
 
 async fn within(call: impl Future<Output = Result<Bytes, Fault>>) -> Result<Bytes, Fault> {
-    timeout(CALL, call).await.unwrap_or(Err(Fault::Late))
+    timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(Fault::Timeout))
 }
 
-/// Makes one call. The lease is checked on the open connection, just before the call is written.
+/// Makes one call. The lease is checked after connecting, just before the request is written.
 async fn call(
     engine: SocketAddr,
     method: Method,
@@ -110,16 +113,16 @@
 ) -> Result<Bytes, Fault> {
     let stream = TcpStream::connect(engine).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    // Its error shows at the call.
+    // An error of the connection also makes the call fail.
     tokio::spawn(connection);
     sender.ready().await?;
     let request = Request::builder()
         .method(method)
-        .uri(PATH)
+        .uri(SETUP_PATH)
         .header(header::HOST, engine.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .expect("the call's parts are valid");
+        .expect("the parts of the request are valid");
     if until.is_some_and(|until| Instant::now() >= until) {
         return Err(Fault::Lease);
     }
--- a/components/agent/src/outbox.rs
+++ b/components/agent/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Evidence of this agent: entries fetch it and append it to the log.
+//! Evidence of this agent. Entry processes fetch it and append it to the log.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -15,20 +15,21 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// Time in which an entry that fetched a batch should have it appended.
-const LEASE: Duration = Duration::from_secs(30);
-/// Longest wait for the log at the end of the process.
-const FLUSH_LIMIT: Duration = Duration::from_secs(3);
+/// Time after which a fetched batch that isn't confirmed is handed out again.
+const BATCH_LEASE: Duration = Duration::from_secs(30);
+/// Timeout of appending the remaining evidence to the log at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The agent's end of its chain; clones share it.
+/// Batches of the agent's chain of evidence that aren't in the log yet; clones share them.
 #[derive(Clone, Debug)]
 pub struct Handle {
     outbox: Arc<Mutex<Outbox>>,
+    /// Minimum time between sealing two batches.
     period: Duration,
     log: log::Client,
 }
 
-/// Starts the chain of this run of the agent.
+/// Starts the chain of evidence of this incarnation of the agent.
 pub fn open(settings: &settings::Agent, run: IncarnationId) -> Handle {
     let process = Process {
         role: Role::Agent,
@@ -42,12 +43,13 @@
 }
 
 impl Handle {
-    /// Where records go in.
+    /// Returns the buffer for new evidence records.
     pub fn buffer(&self) -> Buffer {
         self.lock().buffer()
     }
 
-    /// Gives what an entry should append: at most one new batch in a period, however many ask.
+    /// Returns the batches that the calling entry process should append to the log. Seals at most one
+    /// new batch per period, however often this is called.
     pub fn hand_over(&self) -> Vec<Handed> {
         let mut outbox = self.lock();
         let now = SystemTime::now();
@@ -55,30 +57,35 @@
         if age >= self.period {
             outbox.seal(now);
         }
-        outbox.hand_over(Instant::now(), LEASE)
+        outbox.hand_over(Instant::now(), BATCH_LEASE)
     }
 
-    /// Forgets what is in the log.
+    /// Removes batches that are in the log.
     pub fn confirm(&self, sequences: &[Sequence]) {
         self.lock().confirm(sequences);
     }
 
-    /// Appends the rest, because no entry will ask any more. What an entry has fetched and not
-    /// confirmed is appended again.
+    /// Appends the remaining evidence to the log, because entry processes won't fetch it any more.
+    /// Batches that were fetched but not confirmed are appended again.
     pub async fn flush(&self) {
-        let batches = self.rest();
-        match timeout(FLUSH_LIMIT, append::append(&self.log, &batches)).await {
+        let batches = self.remaining();
+        match timeout(FLUSH_TIMEOUT, append::append(&self.log, &batches)).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => warn!(%error, batches = batches.len(), "evidence is lost"),
-            Err(_) => warn!(batches = batches.len(), "evidence is lost: the log didn't answer"),
+            Ok(Err(error)) => {
+                warn!(%error, batches = batches.len(), "appending evidence failed; it is lost")
+            }
+            Err(_) => {
+                warn!(batches = batches.len(), "appending evidence timed out; it is lost")
+            }
         }
     }
 
-    fn rest(&self) -> Vec<Sealed> {
+    /// Seals and returns all batches that aren't confirmed.
+    fn remaining(&self) -> Vec<Sealed> {
         let mut outbox = self.lock();
         outbox.seal(SystemTime::now());
-        let rest = outbox.hand_over(Instant::now() + LEASE, LEASE);
-        rest.into_iter().map(|handed| handed.sealed).collect()
+        let remaining = outbox.hand_over(Instant::now() + BATCH_LEASE, BATCH_LEASE);
+        remaining.into_iter().map(|handed| handed.sealed).collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, Outbox> {
--- a/components/agent/src/recent.rs
+++ b/components/agent/src/recent.rs
@@ -1,4 +1,4 @@
-//! Recent records of the configuration, for processes that don't read the log themselves.
+//! Recent records of the configuration stream, for processes that don't read the log themselves.
 
 use std::{
     collections::VecDeque,
@@ -10,52 +10,53 @@
 use source::log;
 use wire::control::{Record, Relayed};
 
-/// Records that are kept to be passed on.
-const KEPT: usize = 1_024;
-/// Most records of one answer.
-const PAGE: usize = 256;
+/// Largest number of records that are kept.
+const MAX_KEPT: usize = 1_024;
+/// Largest number of records in one answer.
+const MAX_PAGE_RECORDS: usize = 256;
 
 #[derive(Debug, Default)]
 struct Kept {
-    /// Highest offset that isn't covered: every record after it is in `records`.
+    /// Highest offset whose record isn't kept; every later record is in `records`.
     floor: Offset,
     records: VecDeque<log::Record>,
-    /// When the log was last asked, with success.
+    /// Start of the last successful read of the log; `None` before the first.
     confirmed: Option<Instant>,
 }
 
-/// A bounded ring of records; may be used from any thread.
+/// The newest records, limited in number; may be used from any thread.
 #[derive(Debug, Default)]
 pub struct Recent {
     kept: Mutex<Kept>,
 }
 
 impl Recent {
-    /// Adds the next records.
+    /// Adds records that follow those added before; the oldest are removed beyond the limit.
     pub fn push(&self, records: Vec<log::Record>) {
         let mut kept = self.lock();
         kept.records.extend(records);
-        while kept.records.len() > KEPT {
+        while kept.records.len() > MAX_KEPT {
             if let Some(oldest) = kept.records.pop_front() {
                 kept.floor = oldest.offset;
             }
         }
     }
 
-    /// Starts anew after a snapshot.
+    /// Removes all records after a snapshot as of an offset was applied.
     pub fn reset(&self, applied: Offset) {
         let mut kept = self.lock();
         kept.floor = applied;
         kept.records.clear();
     }
 
-    /// Notes that the log answered a question of this time.
+    /// Notes that a read of the log that began at `asked` succeeded.
     pub fn confirm(&self, asked: Instant) {
         let mut kept = self.lock();
         kept.confirmed = kept.confirmed.max(Some(asked));
     }
 
-    /// Records from an offset on; `None` where some are gone, or the log was never heard.
+    /// Returns the records from an offset on, at most one page. Returns `None` if some of them are no
+    /// longer kept or no read of the log has succeeded yet.
     pub fn read(&self, from: Offset) -> Option<Relayed> {
         let kept = self.lock();
         let age = kept.confirmed?.elapsed();
@@ -66,7 +67,7 @@
         let records = kept
             .records
             .range(start..)
-            .take(PAGE)
+            .take(MAX_PAGE_RECORDS)
             .map(|record| Record { offset: record.offset, payload: record.payload.clone() });
         let next = kept.records.back().map_or(kept.floor, |record| record.offset) + 1;
         Some(Relayed { records: records.collect(), next, age })
--- a/components/agent/src/server.rs
+++ b/components/agent/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for traffic.
 //!
-//! It stands on `hyper` and not on `dropshot`, which leaves Nagle's algorithm on: each answer
-//! then waits 40 ms for an acknowledgement (docs/design/0005-nodelay.md).
+//! It uses `hyper` rather than `dropshot`, because `dropshot` leaves Nagle's algorithm enabled and
+//! each answer then waits 40 ms for an acknowledgement (docs/design/0005-nodelay.md).
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc};
 
@@ -16,15 +16,15 @@
 
 use crate::traffic::{self, Context};
 
-/// The running server.
+/// Handle of the running traffic server.
 pub struct Handle {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
 
-/// Starts to serve at an address.
+/// Starts the server on an address.
 pub async fn bind(address: SocketAddr, context: Arc<Context>) -> io::Result<Handle> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -34,9 +34,9 @@
 }
 
 impl Handle {
-    /// Takes no further connection and waits until every answer is written.
+    /// Stops accepting connections and waits until every answer is written.
     pub async fn close(self) {
-        // Either may have ended already, with the runtime.
+        // The task may already have ended with the runtime.
         let _ = self.stop.send(());
         let _ = self.task.await;
     }
@@ -51,14 +51,14 @@
         };
         match accepted {
             Ok((stream, _)) => serve(stream, Arc::clone(&context), &connections),
-            Err(error) => warn!(%error, "no connection was accepted"),
+            Err(error) => warn!(%error, "accepting a connection failed"),
         }
     }
     connections.shutdown().await;
 }
 
 fn serve(stream: TcpStream, context: Arc<Context>, connections: &GracefulShutdown) {
-    // A connection that is gone already shows itself at its first use.
+    // If the connection is already closed, its first read fails.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let context = Arc::clone(&context);
@@ -67,7 +67,7 @@
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     let connection = connections.watch(connection);
     tokio::spawn(async move {
-        // An error here is a connection that was cut; the entry sees that on its side.
+        // An error means that the connection broke; the entry process sees that on its side.
         let _ = connection.await;
     });
 }
--- a/components/agent/src/service.rs
+++ b/components/agent/src/service.rs
@@ -1,4 +1,4 @@
-//! Serves control calls by `tarpc`.
+//! The `tarpc` server for control calls of entry processes and other agents.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -22,27 +22,27 @@
 
 use crate::{claims::Message, config, control, outbox};
 
-/// The running server.
+/// Handle of the running control server.
 pub struct Handle {
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-/// What answers the calls.
+/// Handler of the calls.
 #[derive(Clone)]
 pub struct Server {
-    /// The target that the agent stands beside.
+    /// Name of the agent's target.
     pub target: TargetName,
-    /// The control thread.
+    /// Control thread of the agent.
     pub control: control::Handle,
-    /// The configuration, and reports of other processes.
+    /// Copy of the configuration and the presence reports of other processes.
     pub config: config::Handle,
-    /// Evidence that isn't in the log yet.
+    /// Evidence that hasn't been appended to the log yet.
     pub outbox: outbox::Handle,
 }
 
-/// Starts to serve at an address.
+/// Starts the server on an address.
 pub async fn bind(address: SocketAddr, server: Server) -> io::Result<Handle> {
     let incoming = tarpc::serde_transport::tcp::listen(address, Bincode::default).await?;
     let address = incoming.local_addr();
@@ -50,7 +50,7 @@
         let connections = incoming.filter_map(|connection| future::ready(connection.ok()));
         connections
             .for_each(|connection| {
-                // A connection that is gone already shows itself at its first use.
+                // If the connection is already closed, its first read fails.
                 let _ = connection.get_ref().set_nodelay(true);
                 let calls = BaseChannel::with_defaults(connection).execute(server.clone().serve());
                 tokio::spawn(calls.for_each(|call| {
@@ -65,7 +65,7 @@
 }
 
 impl Handle {
-    /// Takes no further connection.
+    /// Stops accepting connections; open ones stay open.
     pub fn stop(&self) {
         self.task.abort();
     }
@@ -78,7 +78,7 @@
             retry_after: Duration::ZERO,
             load: self.control.status().load,
         };
-        self.config.hear(ask.offset);
+        self.config.catch_up(ask.offset);
         self.control.reserve(ask).await.unwrap_or(Err(stopped))
     }
 
--- a/components/agent/src/traffic.rs
+++ b/components/agent/src/traffic.rs
@@ -1,4 +1,5 @@
-//! Takes bodies from entries and streams the answers back.
+//! Receives request bodies from entry processes, sends them to the target and streams the answers
+//! back.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -28,29 +29,30 @@
     engine::{Call, Engine},
 };
 
-/// Frames that wait for a slow entry before the target's answer is read on.
-const FRAMES_AHEAD: usize = 64;
-/// Largest chunk of one frame, in bytes; below `wire::frame::LIMIT`.
-const CHUNK_LIMIT: usize = 1 << 20;
+/// Frames that are buffered for a slow entry process before reading the target's answer pauses.
+const FRAME_BUFFER: usize = 64;
+/// Largest chunk of one frame, in bytes; must be below `wire::frame::LIMIT`.
+const MAX_CHUNK_BYTES: usize = 1 << 20;
 
-/// Largest body that an agent takes, in bytes; entries have a lower bound of their own.
-const BODY_LIMIT: usize = 64 << 20;
+/// Largest request body that an agent accepts, in bytes; entry processes have a lower limit.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What all requests share.
+/// State that all requests share.
 pub struct Context {
-    /// The control thread.
+    /// Control thread of the agent.
     pub control: control::Handle,
-    /// The target.
+    /// HTTP client of the target.
     pub engine: Engine,
-    /// Looks after broken connections to the target.
+    /// Detects whether a broken connection means that the target died.
     pub crashes: Watch,
-    /// The metrics.
+    /// Metrics of the agent.
     pub metrics: Arc<metrics::Agent>,
 }
 
-/// An answer to an entry.
+/// An answer to an entry process.
 pub type Answer = Response<UnsyncBoxBody<Bytes, Infallible>>;
 
+/// Query of a start request.
 #[derive(Deserialize)]
 struct Start {
     request: RequestId,
@@ -59,7 +61,7 @@
     path: String,
 }
 
-/// Writes the frames of one answer.
+/// Writes the frames of one answer. Counts the chunks and hashes their bytes for the last frame.
 struct Writer {
     id: Id,
     sequence: u64,
@@ -68,10 +70,10 @@
     frames: mpsc::Sender<Bytes>,
 }
 
-/// The entry went away: nobody reads the answer any more.
-struct Unread;
+/// Error of a write to an entry process that has closed its connection.
+struct ReaderGone;
 
-/// Answers one request of an entry: `POST /start?request=..&attempt=..&method=..&path=..`.
+/// Answers one request of an entry process: `POST /start?request=..&attempt=..&method=..&path=..`.
 pub async fn handle(context: Arc<Context>, request: Request<Incoming>) -> Answer {
     if (request.method(), request.uri().path()) != (&Method::POST, "/start") {
         return text(StatusCode::NOT_FOUND, "only POST /start is served here");
@@ -84,26 +86,28 @@
     let Ok(method) = Method::from_bytes(start.method.as_bytes()) else {
         return text(StatusCode::BAD_REQUEST, "query.method: no HTTP method");
     };
-    let headers = passed_on(request.headers());
-    let body = match Limited::new(request.into_body(), BODY_LIMIT).collect().await {
+    let headers = forwarded_headers(request.headers());
+    let body = match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => return text(StatusCode::BAD_REQUEST, &format!("body: {error}")),
     };
     let id = Id { request: start.request, attempt: start.attempt };
     let call = Call { method, path: start.path, headers, body };
-    // The entry may go away at any moment; a task of its own sees a start through to its end.
+    // The entry process may disconnect at any moment, which drops this future; a separate task
+    // completes the start anyway.
     let started = tokio::spawn(start_run(context, id, call)).await;
     started.unwrap_or_else(|_| text(StatusCode::INTERNAL_SERVER_ERROR, "the start failed"))
 }
 
-/// Starts a granted reservation; gives the stream of frames, or the fate that forbids the start.
+/// Starts a granted reservation. Returns the stream of frames, or the state of the reservation that
+/// forbids the start.
 async fn start_run(context: Arc<Context>, id: Id, call: Call) -> Answer {
     let run = match context.control.start(id).await {
         Ok(run) => run,
         Err(fate) => return denied(id, fate),
     };
     info!(request = %id.request, attempt = id.attempt, "dispatched");
-    let (sender, frames) = mpsc::channel(FRAMES_AHEAD);
+    let (sender, frames) = mpsc::channel(FRAME_BUFFER);
     let writer =
         Writer { id, sequence: 0, chunks: 0, hasher: blake3::Hasher::new(), frames: sender };
     tokio::spawn(serve(context, run, call, writer));
@@ -112,39 +116,40 @@
     Response::new(StreamBody::new(frames).boxed_unsync())
 }
 
-/// Runs one call to its end. The run is over when this returns, and dropping the answer's body
-/// cancels the call at the target.
+/// Sends one call to the target and relays its answer. The run ends when this function returns;
+/// dropping the body of an unfinished answer cancels the call at the target.
 async fn serve(context: Arc<Context>, mut run: Run, call: Call, mut writer: Writer) {
     let request = writer.id.request;
-    let answered = match context.engine.call(call).await {
+    let relayed = match context.engine.call(call).await {
         Ok(answer) => relay(&context, answer, &mut writer).await,
         Err(error) => {
             warn!(%request, %error, ran = ?error.ran(), "no answer from the target");
             run.finish(Finish { ran: error.ran(), digest: None });
             if error.ran() != Ran::NotRun {
-                context.crashes.look(writer.id).await;
+                context.crashes.check(writer.id).await;
             }
             writer.fail(error.ran(), &error.to_string()).await
         }
     };
-    match answered {
-        Err(Unread) => info!(%request, "cancelled: the entry went away"),
-        Ok(Some(Torn)) => {
+    match relayed {
+        Err(ReaderGone) => info!(%request, "cancelled: the entry closed its connection"),
+        Ok(Some(Incomplete)) => {
             context.metrics.torn.inc();
-            warn!(%request, "the target's answer is torn");
+            warn!(%request, "the target's answer is incomplete");
         }
         Ok(None) => run.finish(Finish { ran: Ran::Yes, digest: Some(writer.digest()) }),
     }
 }
 
-/// The target's answer ended before its end.
-struct Torn;
+/// Result of relaying an answer that the target didn't complete.
+struct Incomplete;
 
+/// Relays the target's answer to the entry process. Returns `None` once it is relayed completely.
 async fn relay(
     context: &Context,
     answer: Response<Incoming>,
     writer: &mut Writer,
-) -> Result<Option<Torn>, Unread> {
+) -> Result<Option<Incomplete>, ReaderGone> {
     let status = answer.status().as_u16();
     let content_type = content_type(answer.headers());
     let is_stream = content_type.starts_with("text/event-stream");
@@ -153,10 +158,11 @@
     let mut body = answer.into_body();
     let mut cutter = Cutter::default();
     loop {
-        // A cut-off connection must free the target even while it sends nothing.
+        // If the entry process disconnects, the call must be cancelled even while the target sends
+        // nothing.
         let read = tokio::select! {
             read = body.frame() => read,
-            () = writer.frames.closed() => return Err(Unread),
+            () = writer.frames.closed() => return Err(ReaderGone),
         };
         match read {
             Some(Ok(read)) => {
@@ -170,7 +176,7 @@
                 return writer.end().await;
             }
             Some(Err(_)) | None => {
-                context.crashes.look(writer.id).await;
+                context.crashes.check(writer.id).await;
                 return writer.fail(Ran::Yes, "the target's answer was cut off").await;
             }
         }
@@ -178,9 +184,9 @@
 }
 
 impl Writer {
-    async fn chunk(&mut self, mut bytes: Bytes) -> Result<(), Unread> {
+    async fn chunk(&mut self, mut bytes: Bytes) -> Result<(), ReaderGone> {
         while !bytes.is_empty() {
-            let chunk = bytes.split_to(bytes.len().min(CHUNK_LIMIT));
+            let chunk = bytes.split_to(bytes.len().min(MAX_CHUNK_BYTES));
             self.hasher.update(&chunk);
             self.chunks += 1;
             self.send(Part::Chunk(chunk)).await?;
@@ -192,22 +198,22 @@
         record::answer_digest(&self.hasher.finalize())
     }
 
-    async fn end(&mut self) -> Result<Option<Torn>, Unread> {
+    async fn end(&mut self) -> Result<Option<Incomplete>, ReaderGone> {
         let digest = *self.hasher.finalize().as_bytes();
         self.send(Part::End { chunks: self.chunks, digest }).await?;
         Ok(None)
     }
 
-    async fn fail(&mut self, ran: Ran, message: &str) -> Result<Option<Torn>, Unread> {
+    async fn fail(&mut self, ran: Ran, message: &str) -> Result<Option<Incomplete>, ReaderGone> {
         self.send(Part::Failed { ran, message: message.to_owned() }).await?;
-        Ok(Some(Torn))
+        Ok(Some(Incomplete))
     }
 
-    async fn send(&mut self, part: Part) -> Result<(), Unread> {
+    async fn send(&mut self, part: Part) -> Result<(), ReaderGone> {
         let frame = Frame { request: self.id.request, sequence: self.sequence, part };
         self.sequence += 1;
-        let bytes = frame::encode(&frame).map_err(|_| Unread)?;
-        self.frames.send(bytes).await.map_err(|_| Unread)
+        let bytes = frame::encode(&frame).map_err(|_| ReaderGone)?;
+        self.frames.send(bytes).await.map_err(|_| ReaderGone)
     }
 }
 
@@ -216,10 +222,11 @@
     text(StatusCode::CONFLICT, &serde_json::to_string(&fate).expect("a fate is JSON"))
 }
 
-/// Headers that came from the caller; those of the connection itself stay behind.
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let own = [header::HOST, header::CONTENT_LENGTH, header::CONNECTION, header::TRANSFER_ENCODING];
-    let kept = headers.iter().filter(|(name, _)| !own.contains(name));
+/// Returns the caller's headers without those that belong to the connection to this agent.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_headers =
+        [header::HOST, header::CONTENT_LENGTH, header::CONNECTION, header::TRANSFER_ENCODING];
+    let kept = headers.iter().filter(|(name, _)| !connection_headers.contains(name));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
@@ -228,7 +235,8 @@
     value.unwrap_or("application/octet-stream").to_owned()
 }
 
-/// Whether the answer says where it ends; one that ends with its connection could be torn.
+/// Returns whether the headers delimit the answer. If its end is the end of the connection, a
+/// complete answer can't be told from one that was cut off.
 fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
