--- a/components/wire/src/admission.rs
+++ b/components/wire/src/admission.rs
@@ -1,4 +1,5 @@
-//! Calls that an agent serves to entry processes which call its target themselves.
+//! Calls of an agent that only performs admission control: entry processes reserve a slot with these
+//! calls and then send their requests to the target directly.
 
 use std::net::SocketAddr;
 
@@ -11,30 +12,29 @@
 
 use crate::{pool::Connecting, socket};
 
-/// The target, as the process that reserves knows it.
+/// A target, as the entry process that makes a reservation knows it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// Where it listens.
+    /// Address on which the target listens.
     pub address: SocketAddr,
-    /// Requests that it may have at once; at least 1.
+    /// Number of requests that the target may run at once; at least 1.
     pub slots: u32,
-    /// Whether the agent stands beside it, and can ask it what it has.
+    /// Whether the agent runs on the target's host, so that it can probe the target's load.
     pub beside: bool,
 }
 
-/// Calls to an agent that admits requests without carrying them.
+/// Calls to an agent that only performs admission control.
 #[tarpc::service]
 pub trait Admission {
-    /// Waits for room at the target, whose rate limit is as given where the process heard of one; dropping
-    /// the call cancels the reservation.
+    /// Waits until the reservation is granted or denied; dropping the call cancels it. `limit` is the
+    /// target's rate limit as the caller last received it; `None` if it never received one.
     async fn reserve(ask: Ask, target: Target, limit: Option<Limit>) -> Result<Grant, Denial>;
-    /// Keeps granted room at the target that listens at an address until the call is dropped or its
-    /// connection ends. It is answered only where there is no room to keep, with what became of the
-    /// reservation.
+    /// Holds the granted slot at the target with this address until the call is dropped or its
+    /// connection ends. It returns only if the reservation has no grant, with the reservation's state.
     async fn hold(id: Id, address: SocketAddr) -> Fate;
 }
 
-/// Connects to an agent.
+/// Connects to the agent at an address.
 pub fn connect(address: SocketAddr) -> Connecting<AdmissionClient> {
     Box::pin(async move {
         let connecting = tarpc::serde_transport::tcp::connect(address, Bincode::default);
@@ -42,7 +42,7 @@
         socket::prepare(transport.get_ref())?;
         let NewClient { client, dispatch } =
             AdmissionClient::new(client::Config::default(), transport);
-        // However the connection ends, the next call opens another.
+        // The reason for the end of a connection doesn't matter: the next call opens a new one.
         Ok((client, Box::pin(async move { drop(dispatch.await) }) as _))
     })
 }
--- a/components/wire/src/answer.rs
+++ b/components/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! Puts the frames of one answer together again.
+//! Reassembles the frames of one answer and checks that the answer is complete.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 
 use crate::frame::{Frame, Part};
 
-/// Most frames that are kept ahead of a missing one.
-const AHEAD_LIMIT: usize = 1_024;
+/// Largest number of frames that are buffered while an earlier one is missing.
+const MAX_EARLY_FRAMES: usize = 1_024;
 
-/// Why an answer is torn.
+/// Error of an answer that is incomplete or corrupt.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum Torn {
     /// a frame of request {0} came in the answer to another
@@ -29,66 +29,69 @@
     AfterEnd,
     /// the target failed ({ran:?}): {message}
     Failed {
-        /// Whether the request ran.
+        /// Whether the request ran on the target.
         ran: Ran,
-        /// What the agent said.
+        /// The agent's message, one sentence for a person.
         message: String,
     },
 }
 
-/// What a frame adds to the answer, in order.
+/// Part of an answer, given out in order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Piece {
-    /// Status and content type.
+    /// Status and content type of the answer.
     Head {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Value of `content-type`.
+        /// Value of the `content-type` header.
         content_type: String,
     },
-    /// Bytes of the body.
+    /// Next bytes of the body.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// End of the answer: all frames arrived and its count and digest match.
     Whole,
 }
 
-/// The state of one answer.
+/// State of reassembling one answer.
 #[derive(Debug)]
 pub struct Answer {
     request: RequestId,
-    /// Sequence number of the next frame to give out.
+    /// Sequence number of the next frame to process.
     next: u64,
-    /// Frames that came early, by sequence number; all are above `next`.
-    ahead: BTreeMap<u64, Part>,
+    /// Frames that arrived early, by sequence number; all are above `next` between
+    /// two calls.
+    early: BTreeMap<u64, Part>,
+    /// Number of chunks processed so far.
     chunks: u64,
+    /// Hash over the chunks processed so far.
     hasher: blake3::Hasher,
-    whole: bool,
+    is_whole: bool,
 }
 
-/// Gives the empty answer to a request.
+/// Returns the state for the answer to a request, before its first frame.
 pub fn open(request: RequestId) -> Answer {
     Answer {
         request,
         next: 0,
-        ahead: BTreeMap::new(),
+        early: BTreeMap::new(),
         chunks: 0,
         hasher: blake3::Hasher::new(),
-        whole: false,
+        is_whole: false,
     }
 }
 
 impl Answer {
-    /// Whether everything arrived and matched.
+    /// Returns whether the answer is complete and its chunk count and digest match.
     pub fn is_whole(&self) -> bool {
-        self.whole
+        self.is_whole
     }
 
-    /// Hash over the body as far as it came.
+    /// Returns the hash over the body's chunks so far.
     pub fn hash(&self) -> blake3::Hash {
         self.hasher.finalize()
     }
 
-    /// Takes a frame in; gives what can be passed on now. A doubled frame gives nothing.
+    /// Adds a frame and returns the parts that are now next in order. A duplicate frame adds nothing.
     pub fn push(&mut self, frame: Frame) -> Result<Vec<Piece>, Torn> {
         if frame.request != self.request {
             return Err(Torn::Crossed(frame.request));
@@ -96,29 +99,31 @@
         if frame.sequence < self.next {
             return Ok(Vec::new());
         }
-        if self.whole {
+        if self.is_whole {
             return Err(Torn::AfterEnd);
         }
-        self.ahead.entry(frame.sequence).or_insert(frame.part);
-        if self.ahead.len() > AHEAD_LIMIT {
+        self.early.entry(frame.sequence).or_insert(frame.part);
+        if self.early.len() > MAX_EARLY_FRAMES {
             return Err(Torn::Gap);
         }
         self.release()
     }
 
+    /// Processes the buffered frames that are now next in order.
     fn release(&mut self) -> Result<Vec<Piece>, Torn> {
         let mut pieces = Vec::new();
-        while let Some(part) = self.ahead.remove(&self.next) {
-            pieces.push(self.take(part)?);
+        while let Some(part) = self.early.remove(&self.next) {
+            pieces.push(self.process(part)?);
             self.next += 1;
         }
-        if self.whole && !self.ahead.is_empty() {
+        if self.is_whole && !self.early.is_empty() {
             return Err(Torn::AfterEnd);
         }
         Ok(pieces)
     }
 
-    fn take(&mut self, part: Part) -> Result<Piece, Torn> {
+    /// Checks and processes the next part in order.
+    fn process(&mut self, part: Part) -> Result<Piece, Torn> {
         let is_head = matches!(part, Part::Head { .. });
         let is_failure = matches!(part, Part::Failed { .. });
         if (self.next == 0) != is_head && !is_failure {
@@ -136,10 +141,11 @@
                 Err(Torn::Digest)
             }
             Part::End { .. } => {
-                self.whole = true;
+                self.is_whole = true;
                 Ok(Piece::Whole)
             }
-            // The head shows that the target had the request, whatever the agent says after it.
+            // A head proves that the target received the request, even if the agent then reports that
+            // the request did not run.
             Part::Failed { ran: Ran::NotRun, message } if self.next > 0 => {
                 Err(Torn::Failed { ran: Ran::Yes, message })
             }
--- a/components/wire/src/ending.rs
+++ b/components/wire/src/ending.rs
@@ -1,7 +1,7 @@
-//! A connection that ends when its other side closes it.
+//! A transport wrapper that makes a `tarpc` server cancel the calls of a closed connection.
 //!
-//! A `tarpc` server lets the calls of a connection that its client closed go on. Calls that wait for as
-//! long as their client lives have to end with it.
+//! By default a `tarpc` server continues the calls of a connection after its client has closed it.
+//! Calls that last as long as their client lives must be cancelled instead.
 
 use std::{
     io,
@@ -11,7 +11,8 @@
 
 use futures::{Sink, Stream};
 
-/// A transport whose end is an error, upon which the server ends all its calls.
+/// A transport that reports the end of its stream as an error, which makes the server cancel all
+/// calls of the connection.
 #[derive(Debug)]
 pub struct Ending<T> {
     inner: T,
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer, from an agent to an entry process.
+//! Frames in which an agent sends an answer to an entry process: postcard, with a length prefix.
 
 use bytes::{Bytes, BytesMut};
 use displaydoc::Display;
@@ -7,52 +7,52 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame, in bytes.
+/// Largest encoded frame, in bytes, without its length prefix.
 pub const LIMIT: usize = 4 << 20;
 
-/// BLAKE3 hash over an answer's chunks in their order.
+/// BLAKE3 hash over an answer's chunks in order.
 pub type Digest = [u8; 32];
 
 /// One frame of the answer to one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Frame {
-    /// The request that it answers.
+    /// The request that the frame's answer belongs to.
     pub request: RequestId,
-    /// Position in the answer, from 0, without gaps.
+    /// Position of the frame in the answer, from 0 without gaps.
     pub sequence: u64,
-    /// What it carries.
+    /// Content of the frame.
     pub part: Part,
 }
 
-/// What a frame carries.
+/// Content of a frame.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Part {
-    /// Always first: the target's status line and content type.
+    /// Start of the target's answer, in the first frame.
     Head {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Value of `content-type`.
+        /// Value of the `content-type` header.
         content_type: String,
     },
-    /// Bytes of the body.
+    /// Next bytes of the body.
     Chunk(Bytes),
-    /// Always last in a whole answer.
+    /// End of a complete answer, in its last frame.
     End {
-        /// Number of chunks.
+        /// Number of chunks in the answer.
         chunks: u64,
-        /// Hash over all chunks.
+        /// Hash over all chunks of the answer.
         digest: Digest,
     },
-    /// Last in an answer that the agent knows to be torn, or that never began.
+    /// End of an answer that is incomplete or never began, in its last frame.
     Failed {
-        /// Whether the request ran.
+        /// Whether the request ran on the target.
         ran: Ran,
-        /// One sentence for a person.
+        /// Cause of the failure, one sentence for a person.
         message: String,
     },
 }
 
-/// Why bytes aren't a frame.
+/// Error of bytes that can't be decoded as a frame, or of a frame that can't be encoded.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// the frame's length is wrong: {0}
@@ -61,25 +61,25 @@
     Content(#[from] postcard::Error),
 }
 
-/// Takes frames out of a byte stream.
+/// Decodes frames from a byte stream.
 #[derive(Debug)]
 pub struct Reader {
     buffer: BytesMut,
     codec: LengthDelimitedCodec,
 }
 
-/// Gives a reader with nothing in it.
+/// Returns a reader with an empty buffer.
 pub fn reader() -> Reader {
     Reader { buffer: BytesMut::new(), codec: codec() }
 }
 
 impl Reader {
-    /// Adds bytes as they arrived.
+    /// Adds bytes to the buffer; they may begin and end within a frame.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next frame, where all of it has arrived.
+    /// Removes the next frame from the buffer and returns it; `None` until all its bytes are there.
     pub fn pull(&mut self) -> Result<Option<Frame>, Error> {
         let Some(content) = self.codec.decode(&mut self.buffer)? else {
             return Ok(None);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Writes a frame with its length before it.
+/// Encodes a frame with its length prefix.
 pub fn encode(frame: &Frame) -> Result<Bytes, Error> {
     let content = postcard::to_stdvec(frame)?;
     let mut bytes = BytesMut::with_capacity(content.len() + size_of::<u32>());
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,6 +1,6 @@
 //! The protocols between an entry process and an agent, and between agents.
 //!
-//! Control goes by `tarpc`; an answer goes as a stream of frames in an HTTP response.
+//! Control calls use `tarpc`; an answer is a stream of frames in the body of an HTTP response.
 
 pub mod admission;
 pub mod answer;
--- a/components/wire/src/pool.rs
+++ b/components/wire/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to agents for control calls: one to each agent in use.
+//! A pool of connections to agents for control calls, with one connection to each agent in use.
 
 use std::{
     collections::HashMap,
@@ -17,7 +17,7 @@
 use thiserror::Error;
 use tokio::{sync::Mutex, time::timeout};
 
-/// Why a call had no answer.
+/// Error of a call that got no answer.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// the agent takes no connection
@@ -26,36 +26,40 @@
     Call(#[from] RpcError),
 }
 
-/// What carries a connection's calls until it ends.
+/// Future that sends and receives a connection's messages; it completes when the connection ends.
 pub type Dispatch = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 /// A connection that is being opened.
 pub type Connecting<C> = Pin<Box<dyn Future<Output = io::Result<(C, Dispatch)>> + Send>>;
 
+/// Place of one connection; `None` while none is open.
 type Slot<C> = Arc<Mutex<Option<C>>>;
 
-/// Connections by address.
+/// Connections to agents, by address.
 #[derive(Debug)]
 pub struct Pool<C> {
-    wait: Duration,
+    /// Timeout of a connection attempt.
+    connect_timeout: Duration,
     connect: fn(SocketAddr) -> Connecting<C>,
     slots: Mutex<HashMap<SocketAddr, Slot<C>>>,
 }
 
-/// Gives a pool without connections; `wait` is the longest wait for one.
-pub fn open<C>(wait: Duration, connect: fn(SocketAddr) -> Connecting<C>) -> Pool<C> {
-    Pool { wait, connect, slots: Mutex::default() }
+/// Returns a pool without connections; `connect_timeout` is that of one attempt to connect.
+pub fn open<C>(connect_timeout: Duration, connect: fn(SocketAddr) -> Connecting<C>) -> Pool<C> {
+    Pool { connect_timeout, connect, slots: Mutex::default() }
 }
 
 impl<C: Clone + Send + 'static> Pool<C> {
-    /// The client of an agent; connects where no connection is open.
+    /// Returns the client of an agent; connects if no connection is open.
     pub async fn client(&self, address: SocketAddr) -> Result<C, Error> {
         let shared = Arc::clone(self.slots.lock().await.entry(address).or_default());
         let mut slot = shared.lock().await;
         if let Some(client) = slot.as_ref() {
             return Ok(client.clone());
         }
-        let Ok(Ok((client, dispatch))) = timeout(self.wait, (self.connect)(address)).await else {
+        let Ok(Ok((client, dispatch))) =
+            timeout(self.connect_timeout, (self.connect)(address)).await
+        else {
             return Err(Error::Connect);
         };
         *slot = Some(client.clone());
@@ -67,20 +71,20 @@
         Ok(client)
     }
 
-    /// The clients of all agents that are connected.
+    /// Returns the clients of all open connections.
     pub async fn connected(&self) -> Vec<C> {
         let slots: Vec<Slot<C>> = self.slots.lock().await.values().cloned().collect();
         let open = slots.iter().filter_map(|slot| slot.try_lock().ok()?.clone());
         open.collect()
     }
 
-    /// Opens a new connection at the next call, whatever the state of this one.
+    /// Removes the connection to an agent, so that the next call opens a new one.
     pub async fn forget(&self, address: SocketAddr) {
         self.slots.lock().await.remove(&address);
     }
 }
 
-/// The context of a call that is given up after a time.
+/// Returns the context of a call that times out after `wait`.
 pub fn context(wait: Duration) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + wait;
--- a/components/wire/tests/answer.rs
+++ b/components/wire/tests/answer.rs
@@ -1,4 +1,4 @@
-//! Answers are put together whole, or end torn.
+//! Reassembly of answers: an answer that was cut off or corrupted must never count as complete.
 
 use bytes::Bytes;
 use model::{id::RequestId, refusal::Ran};
@@ -11,8 +11,9 @@
 };
 
 const REQUEST: RequestId = Uuid::from_u128(1);
-const OTHER: RequestId = Uuid::from_u128(2);
+const OTHER_REQUEST: RequestId = Uuid::from_u128(2);
 
+/// Returns the frames of a complete answer with the given chunks.
 fn frames(chunks: &[Vec<u8>]) -> Vec<Frame> {
     let mut hasher = blake3::Hasher::new();
     chunks.iter().for_each(|chunk| {
@@ -25,6 +26,7 @@
     (0..).zip(parts).map(|(sequence, part)| Frame { request: REQUEST, sequence, part }).collect()
 }
 
+/// Returns the body that the frames give, and whether the answer is complete.
 fn collect(frames: Vec<Frame>) -> Result<(Vec<u8>, bool), Torn> {
     let mut answer = answer::open(REQUEST);
     let mut bytes = Vec::new();
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn frames_survive_any_cut_of_the_byte_stream() {
+fn frames_are_decoded_from_a_stream_that_arrives_byte_by_byte() {
     let sent = two_chunks();
     let bytes: Vec<u8> = sent.iter().flat_map(|f| frame::encode(f).unwrap()).collect();
     let mut reader = frame::reader();
@@ -69,7 +71,7 @@
     assert!(matches!(reader.pull(), Err(frame::Error::Length(_))));
 }
 
-#[test_case(|f: &mut Vec<Frame>| f[1].request = OTHER => Err(Torn::Crossed(OTHER)); "crossed")]
+#[test_case(|f: &mut Vec<Frame>| f[1].request = OTHER_REQUEST => Err(Torn::Crossed(OTHER_REQUEST)); "crossed")]
 #[test_case(|f: &mut Vec<Frame>| { f[3].part = Part::End { chunks: 1, digest: [0; 32] } } => Err(Torn::Count); "count")]
 #[test_case(|f: &mut Vec<Frame>| f[2].part = Part::Chunk(Bytes::from_static(b"2wo")) => Err(Torn::Digest); "digest")]
 #[test_case(|f: &mut Vec<Frame>| { f.remove(0); f.iter_mut().for_each(|f| f.sequence -= 1) } => Err(Torn::Headless); "headless")]
@@ -79,7 +81,9 @@
 #[test_case(|f: &mut Vec<Frame>| f.swap(1, 2) => Ok((b"onetwo".to_vec(), true)); "out of order")]
 #[test_case(|f: &mut Vec<Frame>| { f[2].part = failed(Ran::NotRun) } => Err(Torn::Failed { ran: Ran::Yes, message: String::new() }); "not run after the head")]
 #[test_case(|f: &mut Vec<Frame>| { f[0].part = failed(Ran::NotRun) } => Err(Torn::Failed { ran: Ran::NotRun, message: String::new() }); "not run before the head")]
-fn a_fault_never_passes_as_whole(fault: fn(&mut Vec<Frame>)) -> Result<(Vec<u8>, bool), Torn> {
+fn an_answer_counts_as_whole_only_with_all_its_frames_unchanged(
+    fault: fn(&mut Vec<Frame>),
+) -> Result<(Vec<u8>, bool), Torn> {
     let mut frames = two_chunks();
     fault(&mut frames);
 
@@ -89,9 +93,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against the naive version, which sorts all frames and drops doubles before it reads.
+    /// Compares with a simple implementation that has all frames before it sorts them and removes
+    /// duplicates.
     #[test]
-    fn any_order_with_doubles_gives_the_sorted_answer(
+    fn frames_in_any_order_with_duplicates_give_the_sorted_answer(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..8), 0..8),
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
@@ -100,11 +105,11 @@
         let mut sorted = shuffled.clone();
         sorted.sort_by_key(|frame| frame.sequence);
         sorted.dedup();
-        let naive_whole = sorted == sent;
+        let expected_whole = sorted == sent;
 
         let (bytes, whole) = collect(shuffled).unwrap();
 
-        prop_assert_eq!(whole, naive_whole);
+        prop_assert_eq!(whole, expected_whole);
         if whole {
             prop_assert_eq!(bytes, chunks.concat());
         }
@@ -114,9 +119,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(8), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The oracle: an answer that counts as whole is the request's own, byte for byte.
+    /// An answer that counts as complete must equal the request's own answer, byte for byte, even if
+    /// frames are lost, duplicated, renumbered or mixed with those of another answer.
     #[test]
-    fn frames_of_two_answers_lost_doubled_changed_and_mixed_never_make_a_false_one(
+    fn mixed_and_faulty_frames_of_two_answers_never_give_a_wrong_answer(
         own in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..4), 0..6),
         other in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..4), 0..6),
         picks in prop::collection::vec((any::<prop::sample::Index>(), 0..12_u8), 0..40),
@@ -126,9 +132,9 @@
         let received = picks.iter().map(|(pick, fault)| {
             let mut frame = pick.get(&sent).clone();
             match fault {
-                // A frame of the other answer, under this request's id.
+                // The content of the other answer's frame under this request's id.
                 0 => frame.part = pick.get(&foreign).part.clone(),
-                1 => frame.request = OTHER,
+                1 => frame.request = OTHER_REQUEST,
                 2 => frame.sequence += 1,
                 _ => {}
             }
@@ -142,8 +148,10 @@
         }
     }
 
+    /// A corrupted byte may make a frame undecodable, but must not change an answer that counts as
+    /// complete.
     #[test]
-    fn a_changed_byte_on_the_way_never_makes_a_false_answer(
+    fn a_corrupted_byte_never_gives_a_wrong_answer(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..4), 1..6),
         at in any::<prop::sample::Index>(),
         flip in 1..=u8::MAX,
