--- a/components/model/src/change.rs
+++ b/components/model/src/change.rs
@@ -9,10 +9,10 @@
     resource::Key,
 };
 
-/// Version of the record's own form; a reader refuses one that it doesn't know.
+/// Version of the record format; readers reject records of other versions.
 pub const SCHEMA: u32 = 1;
 
-/// What a change does.
+/// Effect of a change.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -23,7 +23,7 @@
 }
 
 impl Action {
-    /// The resource that is changed.
+    /// Returns the key of the changed resource.
     pub fn key(&self) -> Key {
         match self {
             Action::Put(resource) => resource.key(),
@@ -36,12 +36,13 @@
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Form of this record; see [`SCHEMA`].
+    /// Version of the record format; see [`SCHEMA`].
     pub schema: u32,
-    /// A second record with the same id has no effect.
+    /// Id of the change; a second record with the same id has no effect.
     pub id: ChangeId,
-    /// Version that must stand for the change to be accepted; 0 means that none stands.
+    /// Version that the resource must have for the change to be accepted; 0 means that the resource
+    /// must not exist.
     pub expected: Offset,
-    /// What it does.
+    /// Effect of the change.
     pub action: Action,
 }
--- a/components/model/src/claim.rs
+++ b/components/model/src/claim.rs
@@ -1,4 +1,7 @@
 //! Claims: which attempt of a request with an idempotency key may run.
+//!
+//! The home of a key is the agent that decides its claims. Homes follow from the members as of an
+//! epoch of the membership stream, so they change when an agent joins or leaves.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,110 +10,113 @@
 
 use crate::id::{AccountName, ClaimKey, IdempotencyKey, IncarnationId, Offset, RequestId};
 
-/// Version of the UUIDs that begin with a time.
-const TIME_VERSION: usize = 7;
+/// Version number of the UUIDs that begin with a timestamp.
+const TIMESTAMP_UUID_VERSION: usize = 7;
 
-/// What an entry asks of a key's home.
+/// Request of an entry process to a key's home: claims the key for an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ask {
-    /// The key.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// The attempt that wants to run.
+    /// The attempt to run.
     pub attempt: RequestId,
-    /// Membership epoch that the entry has applied.
+    /// Membership epoch that the entry process has applied.
     pub epoch: Offset,
-    /// Time that the key itself carries, by its caller's clock.
+    /// Timestamp in the key itself, by its caller's clock; `None` if the key contains none.
     pub minted: Option<SystemTime>,
 }
 
-/// What the home answers; all but `Granted` leave it open whether an earlier attempt ran.
+/// Answer of a key's home to a claim; all but `Granted` and `Ran` leave it open whether an earlier
+/// attempt ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
-    /// The attempt may run, and no other attempt may unless this one is released.
+    /// The attempt may run. No other attempt may, unless this claim is released.
     Granted,
     /// Another attempt holds the key: it may run, or has run in part.
     Held,
-    /// An attempt ran.
+    /// An earlier attempt ran.
     Ran,
-    /// The agent hasn't applied the asker's epoch, or its own is too old to decide by: ask again.
+    /// The agent hasn't applied the caller's epoch, or the log hasn't confirmed the agent's own epoch
+    /// for too long; the caller should retry.
     Behind {
         /// Epoch that the agent has applied.
         epoch: Offset,
     },
-    /// By a later epoch another agent is the key's home.
+    /// Another agent is the key's home by a later epoch.
     Moved {
         /// Epoch that the agent has applied.
         epoch: Offset,
     },
-    /// The agent is handing its claims over: ask again.
+    /// The agent is handing its claims over; the caller should retry.
     Leaving,
-    /// An earlier home was lost with its claims, or can't be asked now.
+    /// An earlier home was lost with its claims, or is unreachable.
     Unsure,
-    /// The key's own time is further ahead of the clock than is allowed.
+    /// The key's timestamp is further ahead of the agent's clock than is allowed.
     Ahead,
-    /// The key is older than claims are remembered.
+    /// The key's timestamp is older than the time for which claims are remembered.
     Expired,
-    /// The agent remembers as many claims as it may.
+    /// The agent remembers the largest allowed number of claims.
     Full,
 }
 
-/// What a home asks of an earlier home.
+/// Question of a key's home to an earlier home of the key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Question {
-    /// The key.
+    /// The key in question.
     pub key: ClaimKey,
-    /// The run of the agent that is asked.
+    /// The incarnation of the agent that is asked.
     pub incarnation: IncarnationId,
-    /// Epoch under which the asker is the key's home; the asked agent never grants the key
-    /// under an earlier one after this question.
+    /// Epoch under which the caller is the key's home; after this question the asked agent never
+    /// grants the key under an earlier epoch.
     pub epoch: Offset,
-    /// An attempt that provably never ran, as the asker was told: its claim is void.
+    /// An attempt that provably never ran, as was reported to the caller, so that its claim is void;
+    /// `None` if there is none.
     pub free: Option<RequestId>,
 }
 
 /// What an agent remembers of a key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Mark {
-    /// The attempt was granted and provably never ran: another may.
+    /// The attempt was granted and provably never ran, so another attempt may run.
     Free(RequestId),
-    /// The attempt was granted.
+    /// The attempt was granted; it may run or have run.
     Held(RequestId),
     /// An attempt ran.
     Ran,
 }
 
-/// What an earlier home answers.
+/// Answer of an earlier home.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
-    /// It is another run of the agent, which remembers nothing of the one that was asked.
+    /// The agent is another incarnation and remembers no claims of the one that was asked.
     Stranger,
-    /// It never granted the key, and won't.
+    /// The agent never granted the key, and won't under an epoch before that of the question.
     Unknown,
-    /// It remembers this.
+    /// The agent remembers the key.
     Known(Mark),
 }
 
-/// What became of an attempt that was granted.
+/// Report of an entry process on the result of an attempt that was granted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Settle {
-    /// The key.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// The attempt.
+    /// The attempt that was granted.
     pub attempt: RequestId,
-    /// Whether it ran; otherwise it provably never will.
+    /// Whether the attempt ran; `false` means that it provably never ran and never will.
     pub ran: bool,
 }
 
-/// A claim that moves from an agent that leaves to the key's next home.
+/// A claim that a leaving agent hands over to the key's next home.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Transfer {
-    /// The key.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// What is remembered.
+    /// What the leaving agent remembers of the key.
     pub mark: Mark,
 }
 
-/// Names a caller's idempotency key across all client accounts.
+/// Returns the hash that identifies a caller's idempotency key among all client accounts.
 pub fn key(account: &AccountName, key: &IdempotencyKey) -> ClaimKey {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(account.len() as u64).to_le_bytes());
@@ -121,9 +127,12 @@
     ClaimKey::from_le_bytes(bytes)
 }
 
-/// The time that a key carries: that of a version 7 UUID, by its caller's clock.
+/// Returns the timestamp in a key that is a version 7 UUID, by its caller's clock; `None` for any
+/// other key.
 pub fn minted(key: &IdempotencyKey) -> Option<SystemTime> {
-    let uuid = Uuid::try_parse(key).ok().filter(|uuid| uuid.get_version_num() == TIME_VERSION)?;
+    let uuid = Uuid::try_parse(key)
+        .ok()
+        .filter(|uuid| uuid.get_version_num() == TIMESTAMP_UUID_VERSION)?;
     let (seconds, nanoseconds) = uuid.get_timestamp()?.to_unix();
     SystemTime::UNIX_EPOCH.checked_add(Duration::new(seconds, nanoseconds))
 }
--- a/components/model/src/credential.rs
+++ b/components/model/src/credential.rs
@@ -1,4 +1,4 @@
-//! Secrets are kept and compared only as hashes.
+//! Credentials of callers. Secrets are stored and compared only as hashes.
 
 use displaydoc::Display;
 use thiserror::Error;
@@ -6,7 +6,7 @@
 /// Lower-case hex of the BLAKE3 hash of a secret; 64 characters.
 pub type KeyHash = String;
 
-/// Why an `Authorization` header gives no secret.
+/// Error of an `Authorization` header without a secret.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum Error {
     /// no Authorization header was sent
@@ -20,7 +20,7 @@
     blake3::hash(secret.as_bytes()).to_hex().to_string()
 }
 
-/// Takes the secret out of an `Authorization: Bearer <key>` header and hashes it.
+/// Extracts the secret from an `Authorization: Bearer <key>` header and hashes it.
 pub fn bearer(header: Option<&str>) -> Result<KeyHash, Error> {
     let header = header.ok_or(Error::Missing)?;
     let (scheme, secret) = header.split_once(' ').ok_or(Error::Malformed)?;
--- a/components/model/src/finding.rs
+++ b/components/model/src/finding.rs
@@ -1,4 +1,4 @@
-//! A fault in something that a person or a caller wrote, with its place.
+//! Faults in user input (settings, resources, requests), each with its place.
 
 use displaydoc::Display;
 use schemars::JsonSchema;
@@ -9,14 +9,15 @@
     Clone, Debug, Deserialize, Display, Eq, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Finding {
-    /// JSON path (`body.max_tokens`), header (`header.idempotency-key`) or file and path.
+    /// Place of the fault: a JSON path (`body.max_tokens`), a header (`header.idempotency-key`), or a
+    /// file and a path in it.
     pub place: String,
-    /// What is wrong and what would be right, in one sentence.
+    /// One sentence on what is wrong and what would be right.
     pub message: String,
 }
 
 impl Finding {
-    /// Builds a finding from its two parts.
+    /// Returns a finding with a place and a message.
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Finding {
         Finding { place: place.into(), message: message.into() }
     }
--- a/components/model/src/host.rs
+++ b/components/model/src/host.rs
@@ -1,27 +1,27 @@
-//! Hosts as the platform's lagging list shows them.
+//! Hosts as the platform lists them; the list may lag behind their real state.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostName, ZoneName};
 
-/// What the platform says of a host.
+/// State of a host in the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The host is up, or was when the list was made.
+    /// The host was up when the list was made.
     Live,
-    /// The host will be taken away: it gets no new work.
+    /// The host is going to be removed, so it gets no new work.
     Leaving,
 }
 
-/// One row of the platform's list.
+/// One host of the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Host {
-    /// Name, unique in the deployment.
+    /// Name of the host, unique in the deployment.
     pub name: HostName,
-    /// Availability zone that the host stands in.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Last state that the platform knew.
+    /// Last known state of the host.
     pub state: State,
 }
--- a/components/model/src/id.rs
+++ b/components/model/src/id.rs
@@ -1,20 +1,22 @@
-//! Type aliases for the ids that cross module borders.
+//! Type aliases for ids and names, and the fingerprint of a request.
 
 use uuid::Uuid;
 
-/// Name of a client account; lower-case DNS label.
+/// Name of a client account; a lower-case DNS label.
 pub type AccountName = String;
-/// Id of one configuration change, chosen by whoever asks for it; repeats are harmless.
+/// Id of one configuration change, chosen by the client that requests it. A repeated change has no
+/// further effect.
 pub type ChangeId = Uuid;
-/// A key chosen by the caller, scoped to its client account.
+/// Idempotency key chosen by the caller, unique only within its client account.
 pub type IdempotencyKey = String;
-/// Hash of a client account and an idempotency key of its own.
+/// Hash of a client account's name and one of its idempotency keys.
 pub type ClaimKey = u128;
 /// BLAKE3 hash of a request's path and body, cut to 16 bytes.
 pub type Fingerprint = [u8; 16];
 
-/// What names a body wherever it is sent again: a hash of its path, of what else tells it apart, and
-/// of the body. None of the parts but the last holds a zero byte.
+/// Returns the fingerprint that identifies a body each time it is sent. It is a hash of the parts: the
+/// request's path, other properties that distinguish requests, and the body, in this order. Only the
+/// last part may contain zero bytes, because a zero byte separates the parts.
 pub fn fingerprint(parts: &[&[u8]]) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     for (number, part) in parts.iter().enumerate() {
@@ -27,23 +29,24 @@
     hasher.finalize_xof().fill(&mut fingerprint);
     fingerprint
 }
-/// Name of a host as the platform's list gives it.
+/// Name of a host in the platform's list.
 pub type HostName = String;
-/// Id of one run of an agent, minted when its process starts.
+/// Id of one incarnation of an agent: a new one is created when its process starts, and when it joins
+/// again after it was declared lost.
 pub type IncarnationId = Uuid;
 /// Name of a model, as callers write it in a request.
 pub type ModelName = String;
-/// Position of a record in one stream of the platform's log; the first record has 1.
+/// Position of a record in a stream of the platform's log; the first record has offset 1.
 pub type Offset = u64;
-/// Name of a target pool.
+/// Name of a target pool; a lower-case DNS label.
 pub type PoolName = String;
-/// Order of a tier: 0 is the highest and is shed last.
+/// Rank of a tier: 0 is the highest, whose requests are shed last.
 pub type Rank = u8;
-/// Id of one request attempt, minted by the entry process that accepted it.
+/// Id of one request attempt, created by the entry process that accepted it.
 pub type RequestId = Uuid;
-/// Name of a target.
+/// Name of a target; a lower-case DNS label.
 pub type TargetName = String;
-/// Name of a tier.
+/// Name of a tier; a lower-case DNS label.
 pub type TierName = String;
 /// Name of an availability zone.
 pub type ZoneName = String;
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,4 +1,4 @@
-//! The nouns that every process shares: ids, resources, changes, findings and refusals.
+//! Data types that all processes share: ids, resources, reservations, claims, log records and refusals.
 
 pub mod change;
 pub mod claim;
--- a/components/model/src/membership.rs
+++ b/components/model/src/membership.rs
@@ -1,4 +1,4 @@
-//! Records of the membership stream: which agents hold claims.
+//! Records of the membership stream, which says which agents hold claims of idempotency keys.
 
 use std::{net::SocketAddr, time::SystemTime};
 
@@ -7,45 +7,45 @@
 
 use crate::id::{HostName, IncarnationId, Offset, TargetName};
 
-/// Version of the record's own form; a reader passes over one that it doesn't know.
+/// Version of the record format; readers skip records of other versions.
 pub const SCHEMA: u32 = 1;
 
-/// An agent that takes part from this record on.
+/// An agent that is a member from this record on.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Join {
-    /// The target that it stands beside; a later join of the same target takes its place.
+    /// Name of the agent's target; a later join with the same target replaces this one.
     pub target: TargetName,
-    /// The host that it runs on.
+    /// Host that the agent runs on.
     pub host: HostName,
-    /// This run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: IncarnationId,
-    /// Where it takes control calls.
+    /// Address on which the agent serves control calls.
     pub control: SocketAddr,
 }
 
-/// An agent that takes part no more.
+/// An agent that is no longer a member from this record on.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leave {
-    /// The target that it stood beside.
+    /// Name of the agent's target.
     pub target: TargetName,
-    /// The run that ends; a record about another run has no effect.
+    /// Incarnation that leaves; the record has no effect if the member is another incarnation.
     pub incarnation: IncarnationId,
-    /// Epoch under which it handed all its claims to the members that stay; `None` where it
-    /// handed none over. The record has no effect unless this epoch still stands at its offset.
+    /// Epoch under which the agent handed all its claims over to the other members; `None` if it handed
+    /// none over. The record has no effect unless this is still the epoch at the record's offset.
     pub handed_over: Option<Offset>,
-    /// Whether it surely grants nothing any more: only the agent itself can say so.
+    /// Whether the agent certainly grants no more keys; only the agent itself can set this.
     pub ended: bool,
 }
 
-/// What a record does.
+/// Effect of a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// An agent joins.
+    /// An agent joins the members.
     Join(Join),
-    /// An agent leaves.
+    /// An agent leaves the members.
     Leave(Leave),
 }
 
@@ -54,12 +54,12 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Form of this record; see [`SCHEMA`].
+    /// Version of the record format; see [`SCHEMA`].
     pub schema: u32,
-    /// Clock of the process that appended it.
+    /// Time of the append, by the clock of the process that appended the record.
     #[serde(rename = "at_ms")]
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub at: SystemTime,
-    /// What it does.
+    /// Effect of the record.
     pub action: Action,
 }
--- a/components/model/src/presence.rs
+++ b/components/model/src/presence.rs
@@ -1,36 +1,37 @@
-//! What processes tell of the configuration offset that they have applied.
+//! Presence reports, in which processes state the configuration offset that they have applied.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostName, Offset};
 
-/// What one process tells of itself.
+/// Presence report of one process.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Report {
-    /// Offset that it has applied. First, so that the lowest report is the one furthest behind.
+    /// Configuration offset that the process has applied. This field is the first one, so that the
+    /// smallest report is that of the process furthest behind.
     pub offset: Offset,
-    /// Host that it runs on.
+    /// Host that the process runs on.
     pub host: HostName,
-    /// Its name, unique in the deployment.
+    /// Name of the process, unique in the deployment.
     pub process: String,
 }
 
-/// What was told within one lease.
+/// Summary of the presence reports whose lease hasn't expired.
 #[derive(Clone, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Summary {
-    /// Hosts that reported.
+    /// Number of hosts that reported.
     pub hosts: u32,
-    /// Processes that reported.
+    /// Number of processes that reported.
     pub processes: u32,
-    /// The report with the lowest offset.
+    /// The report with the lowest offset; `None` if no process reported.
     pub slowest: Option<Report>,
-    /// Highest offset that was heard of.
+    /// Highest configuration offset that any process reported or applied.
     pub highest: Offset,
 }
 
 impl Summary {
-    /// Adds what another holder of reports was told.
+    /// Adds the summary of another process that stores reports.
     pub fn merge(self, other: Summary) -> Summary {
         let slowest = match (self.slowest, other.slowest) {
             (Some(a), Some(b)) => Some(a.min(b)),
--- a/components/model/src/refusal.rs
+++ b/components/model/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Typed refusals: what a caller is told when it gets no answer.
+//! Typed refusals, which callers receive in place of an answer.
 
 use std::time::Duration;
 
@@ -14,47 +14,47 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not run and this attempt never will: said only where it is provable. Of a request
-    /// with an idempotency key it says so of every attempt so far.
+    /// This attempt provably did not run and never will. For a request with an idempotency key, this
+    /// holds for every attempt so far.
     NotRun,
-    /// It may have run: whoever could tell can't be asked.
+    /// The request may have run: the process that has the answer is unreachable.
     MayHaveRun,
-    /// It ran, at least in part.
+    /// The request ran, at least in part.
     #[serde(rename = "ran")]
     Yes,
 }
 
-/// Why a request got no whole answer.
+/// Reason why a request got no complete answer.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The request itself is wrong; the findings say where.
+    /// The request is invalid; the findings name the places.
     BadInput,
-    /// The key opens no client account.
+    /// The credential belongs to no client account.
     Unauthorized,
-    /// The client account passed a limit of its own.
+    /// The client account exceeded one of its own limits.
     AccountLimit,
-    /// No room: the tier was shed.
+    /// There is no capacity: requests of this tier are shed.
     Overloaded,
-    /// The deadline passed, or could no longer be met.
+    /// The deadline passed or could no longer be met.
     Deadline,
-    /// No target serves this pool now.
+    /// No target of the pool is available now.
     NoTarget,
-    /// The process is leaving and takes no new work.
+    /// The process is draining and accepts no new requests.
     Draining,
     /// The process hasn't read the configuration yet.
     NotReady,
-    /// The target or its agent was lost after the start.
+    /// The target or its agent became unreachable after the request started.
     TargetLost,
-    /// The target answered, but the answer is torn.
+    /// The target's answer is incomplete.
     TornAnswer,
     /// The same idempotency key was used before.
     Duplicate,
-    /// Whether the idempotency key was used before can't be told now.
+    /// It can't be determined now whether the idempotency key was used before.
     Unclaimed,
-    /// The body crashed targets before.
+    /// The request's body has crashed targets before.
     Quarantined,
 }
 
@@ -62,33 +62,33 @@
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Display, Eq, Error, JsonSchema, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// Whether the request ran.
+    /// Whether the request ran on a target.
     pub ran: Ran,
-    /// One sentence for a person.
+    /// Explanation in one sentence, for a person.
     pub message: String,
-    /// How long to wait before asking again; `None` where asking again can't help.
+    /// Time to wait before a retry; `None` if a retry can't succeed.
     #[serde(rename = "retry_after_ms", default)]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub retry_after: Option<Duration>,
-    /// Faults with their places; empty unless the input is at fault.
+    /// Faults of the input with their places; empty unless the reason is `BadInput`.
     #[serde(default)]
     pub findings: Vec<Finding>,
 }
 
 impl Refusal {
-    /// A refusal that promises that nothing ran.
+    /// Returns a refusal which states that the request did not run.
     pub fn not_run(reason: Reason, message: impl Into<String>) -> Refusal {
         Refusal::new(reason, Ran::NotRun, message)
     }
 
-    /// A refusal without findings or a time to come back.
+    /// Returns a refusal without findings and without a time to retry after.
     pub fn new(reason: Reason, ran: Ran, message: impl Into<String>) -> Refusal {
         Refusal { reason, ran, message: message.into(), retry_after: None, findings: Vec::new() }
     }
 
-    /// A refusal of faulty input, which never runs.
+    /// Returns a refusal of invalid input, which did not run.
     pub fn bad_input(findings: Vec<Finding>) -> Refusal {
         let message = match findings.as_slice() {
             [only] => only.to_string(),
@@ -97,7 +97,7 @@
         Refusal { findings, ..Refusal::not_run(Reason::BadInput, message) }
     }
 
-    /// The same refusal, with a time to come back.
+    /// Returns the same refusal with a time to retry after.
     pub fn retry_after(self, wait: Duration) -> Refusal {
         Refusal { retry_after: Some(wait), ..self }
     }
--- a/components/model/src/reservation.rs
+++ b/components/model/src/reservation.rs
@@ -1,4 +1,5 @@
-//! Reservations: a request waits as one at a target's agent and starts at most once.
+//! Reservations: a request waits for a slot of a target in a reservation at the target's agent, and each
+//! reservation starts at most once.
 
 use std::time::Duration;
 
@@ -13,102 +14,104 @@
 /// Hash of one block of a prompt together with all blocks before it.
 pub type BlockHash = u64;
 
-/// Names one reservation: the request, and which of its reservations it is.
+/// Id of a reservation: the request, and the number of the reservation among those of the request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Id {
-    /// The request that waits.
+    /// Request that the reservation is for.
     pub request: RequestId,
-    /// Counts the request's reservations from 1; a number is never used twice.
+    /// Number of the reservation, counted from 1; no two reservations of a request share a number.
     pub attempt: u32,
 }
 
-/// What an entry asks of an agent.
+/// Reservation that an entry process requests from an agent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ask {
-    /// The new reservation.
+    /// Id of the new reservation.
     pub id: Id,
     /// Rank of the request's tier.
     pub rank: Rank,
-    /// Time that remains until the whole answer is due.
+    /// Time that remains until the request's deadline, by which the answer must be complete.
     pub remaining: Duration,
-    /// Estimated tokens to prefill.
+    /// Estimated number of tokens to prefill.
     pub prefill: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub decode: u32,
-    /// Hashes of the prompt's leading blocks, shortest prefix first.
+    /// Hashes of the prompt's leading blocks, in the order of the prompt.
     pub prefix: Vec<BlockHash>,
-    /// Configuration offset that the entry has applied.
+    /// Configuration offset that the entry process has applied.
     pub offset: Offset,
-    /// What is known of the request's body.
+    /// Fingerprint of the request's body, and whether the body is suspected of crashing targets.
     pub body: Body,
 }
 
-/// What an entry last heard of a target's rate limit.
+/// A target's rate limit as an entry process last received it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limit {
-    /// Mean time between two requests of all processes together; `None` where the limit is gone.
+    /// Mean interval between two requests of all processes together; `None` if the target has no rate
+    /// limit any more.
     pub interval: Option<Duration>,
-    /// Time since it was heard.
+    /// Time since the limit was received.
     pub age: Duration,
 }
 
-/// What became of a reservation; all but the first two are final.
+/// State of a reservation; all but the first two are final.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Fate {
-    /// It waits for room.
+    /// The reservation waits for a slot.
     Waiting,
-    /// It holds room for a short time and may start.
+    /// The reservation holds a slot until its grant expires, and may start.
     Granted,
-    /// It started: the target has, or had, the request.
+    /// The request was started: it runs or ran on the target.
     Started,
-    /// The entry gave it up before it started.
+    /// The entry process or the agent cancelled the reservation before it started.
     Cancelled,
-    /// Its grant or its deadline ran out before it started.
+    /// The grant or the deadline expired before the reservation started.
     Expired,
-    /// A higher tier took its place before it started.
+    /// A request of a higher tier displaced the reservation before it started.
     Evicted,
-    /// The agent doesn't know it, perhaps because it was restarted: it may have started.
+    /// The agent doesn't know the reservation, perhaps because the agent was restarted; the
+    /// reservation may have started.
     Unknown,
 }
 
 impl Fate {
-    /// Whether this proves that the reservation did not start and never will.
+    /// Returns whether this state proves that the reservation did not start and never will.
     pub fn never_starts(self) -> bool {
         matches!(self, Fate::Cancelled | Fate::Expired | Fate::Evicted)
     }
 }
 
-/// Room for a request, for a short time.
+/// A slot for a request, reserved for a short time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
-    /// Time until the grant lapses, on the agent's clock.
+    /// Time until the grant expires, by the agent's clock.
     pub life: Duration,
-    /// What the agent says of its load.
+    /// Load of the target at the time of the answer.
     pub load: Load,
 }
 
-/// Why a reservation ended without a grant; the request did not run.
+/// Answer to a reservation that ended without a grant; the request did not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Denial {
-    /// Why.
+    /// Reason of the denial.
     pub reason: Reason,
-    /// When room is likely.
+    /// Time after which a slot is likely to be free.
     pub retry_after: Duration,
-    /// What the agent says of its load.
+    /// Load of the target at the time of the answer.
     pub load: Load,
 }
 
-/// What an agent says of its load on every reply; old once it arrives.
+/// Load of a target, which its agent attaches to every answer; it may have changed on arrival.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of granted and running requests.
     pub running: u32,
-    /// Reservations that wait.
+    /// Number of waiting reservations.
     pub waiting: u32,
-    /// Lowest rank number that the agent sheds now; `None` where it sheds none.
+    /// Lowest rank number of the tiers that the agent sheds now; `None` if it sheds none.
     pub floor: Option<Rank>,
-    /// Highest configuration offset that the agent has heard of.
+    /// Highest configuration offset that the agent has received in a message or applied.
     pub offset: Offset,
-    /// Time that the target takes for each token that it generates; `None` while too little is known.
+    /// Average time in which the target generates one token; `None` until enough requests have run.
     pub step: Option<Duration>,
 }
--- a/components/model/src/resource.rs
+++ b/components/model/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources that operators declare.
+//! Resources that operators declare in the configuration.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,12 +13,12 @@
     setup::Setup,
 };
 
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource's name, in bytes.
 pub const NAME_LIMIT: usize = 63;
-/// Highest number that a tier's rank may have.
+/// Highest rank number of a tier.
 pub const RANK_LIMIT: Rank = 15;
 
-/// The kinds of resource.
+/// Kind of a resource.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, Hash, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -34,25 +34,25 @@
     Target,
 }
 
-/// What names a resource.
+/// Identifies a resource.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Key {
-    /// Its kind.
+    /// Kind of the resource.
     pub kind: Kind,
-    /// Its name, unique within the kind.
+    /// Name of the resource, unique within its kind.
     pub name: String,
 }
 
-/// What a client account may use at once and over time.
+/// Limits of a client account.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Requests in progress or waiting, over all entry hosts.
+    /// Maximum number of requests that run or wait at a time, over all entry hosts.
     #[garde(range(min = 1))]
     pub concurrency: u32,
-    /// Requests a second, over all entry hosts.
+    /// Maximum number of requests per second, over all entry hosts.
     #[garde(range(min = 1))]
     pub requests_per_second: u32,
 }
@@ -61,16 +61,16 @@
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its name.
+    /// Name of the client account.
     #[garde(custom(label))]
     pub name: AccountName,
-    /// Hash of the secret that its callers send.
+    /// Hash of the secret that the account's callers send.
     #[garde(length(equal = 64), ascii)]
     pub key_hash: KeyHash,
-    /// Tiers that it may ask for; the first is the default.
+    /// Tiers that the account's requests may use; the first is the default.
     #[garde(length(min = 1))]
     pub tiers: Vec<TierName>,
-    /// Its limits; `None` is no limit of its own.
+    /// Limits of the account; `None` means that it has no limits of its own.
     #[garde(dive)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<Limit>,
@@ -81,13 +81,13 @@
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// Name of the tier.
     #[garde(custom(label))]
     pub name: TierName,
-    /// Its order: 0 is the highest. No two tiers share a rank.
+    /// Rank of the tier: 0 is the highest. No two tiers share a rank.
     #[garde(range(max = RANK_LIMIT))]
     pub rank: Rank,
-    /// Time for a whole answer, where the caller gives no deadline of its own.
+    /// Time for a complete answer if the caller gives no deadline.
     #[garde(custom(positive))]
     #[serde(rename = "deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -95,11 +95,11 @@
     pub deadline: Duration,
 }
 
-/// What stands behind a pool.
+/// Type of the targets of a pool.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Backing {
-    /// Model engines, which batch and keep prefixes.
+    /// Model engines, which batch requests and cache prompt prefixes.
     Model,
     /// Plain services.
     Service,
@@ -110,76 +110,76 @@
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     #[garde(custom(label))]
     pub name: PoolName,
-    /// What stands behind it.
+    /// Type of the pool's targets.
     #[garde(skip)]
     pub backing: Backing,
-    /// Models that its targets serve; empty for a plain service.
+    /// Models that the pool's targets serve; empty for a plain service.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<ModelName>,
-    /// Wait at the first target before a second reservation is made elsewhere.
+    /// Time that a request waits at its first target before it reserves at a second one too.
     #[garde(skip)]
-    #[serde(rename = "patience_ms", default = "patience")]
+    #[serde(rename = "patience_ms", default = "default_patience")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub patience: Duration,
-    /// Whether calls may be repeated where the caller says nothing.
+    /// Whether requests may be retried if the caller doesn't say so itself.
     #[garde(skip)]
-    #[serde(default = "idempotent")]
+    #[serde(default = "default_idempotent")]
     pub idempotent: bool,
 }
 
-/// What an operator wants of a target.
+/// State that an operator wants a target to be in.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Desired {
-    /// It takes work.
+    /// The target accepts requests.
     #[default]
     Serving,
-    /// It takes no new work and finishes what runs.
+    /// The target accepts no new requests and completes the running ones.
     Leaving,
 }
 
-/// A target and the agent beside it.
+/// A target and its agent.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Its name.
+    /// Name of the target.
     #[garde(custom(label))]
     pub name: TargetName,
-    /// The pool that it serves.
+    /// Pool that the target belongs to.
     #[garde(custom(label))]
     pub pool: PoolName,
-    /// The host that it runs on.
+    /// Host that the target runs on.
     #[garde(length(min = 1))]
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the target.
     #[garde(length(min = 1))]
     pub zone: ZoneName,
-    /// Where its agent answers control calls (`tarpc`).
+    /// Address on which the target's agent serves control calls (`tarpc`).
     #[garde(skip)]
     pub control: SocketAddr,
-    /// Where its agent takes bodies and streams answers (HTTP).
+    /// Address on which the target's agent receives request bodies and streams answers (HTTP).
     #[garde(skip)]
     pub traffic: SocketAddr,
-    /// Speed against the slowest hardware generation, in percent.
+    /// Speed relative to the slowest hardware generation, in percent.
     #[garde(range(min = 1, max = 10_000))]
-    #[serde(default = "speed")]
+    #[serde(default = "default_speed_percent")]
     pub speed_percent: u32,
-    /// What the operator wants of it.
+    /// State that the operator wants the target to be in.
     #[garde(skip)]
     #[serde(default)]
     pub desired: Desired,
-    /// What its engine shall have loaded; `None` leaves the engine alone.
+    /// Setup that the target's engine should have; `None` leaves the engine's setup unchanged.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub setup: Option<Setup>,
 }
 
-/// Any resource.
+/// A resource of any kind.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Resource {
@@ -194,7 +194,7 @@
 }
 
 impl Resource {
-    /// What names this resource.
+    /// Returns the key of this resource.
     pub fn key(&self) -> Key {
         let (kind, name) = match self {
             Resource::Account(account) => (Kind::Account, &account.name),
@@ -206,23 +206,24 @@
     }
 }
 
-fn patience() -> Duration {
+fn default_patience() -> Duration {
     Duration::from_millis(100)
 }
 
-fn idempotent() -> bool {
+fn default_idempotent() -> bool {
     true
 }
 
-fn speed() -> u32 {
+fn default_speed_percent() -> u32 {
     100
 }
 
 /// Checks that a name is a lower-case DNS label.
 pub fn label(name: &str, (): &()) -> garde::Result {
-    let fits = !name.is_empty() && name.len() <= NAME_LIMIT;
-    let plain = name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-    if fits && plain && !name.starts_with('-') && !name.ends_with('-') {
+    let has_valid_length = !name.is_empty() && name.len() <= NAME_LIMIT;
+    let has_valid_chars =
+        name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
+    if has_valid_length && has_valid_chars && !name.starts_with('-') && !name.ends_with('-') {
         return Ok(());
     }
     let rule = format!("use 1 to {NAME_LIMIT} of a-z, 0-9 and '-', with no '-' at the ends");
--- a/components/model/src/setup.rs
+++ b/components/model/src/setup.rs
@@ -1,4 +1,4 @@
-//! What a target's engine has loaded and what it does, and the orders that change it.
+//! The setup of a target's engine (its loaded models and its role), and the orders that change it.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::id::Offset;
 
-/// The kinds of what an engine loads.
+/// Kind of the weights that an engine loads.
 #[derive(
     Clone, Copy, Debug, Deserialize, Eq, JsonSchema, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -15,71 +15,71 @@
 pub enum Kind {
     /// A model.
     Model,
-    /// An adapter to a model.
+    /// An adapter of a model.
     Adapter,
 }
 
-/// One version of a model or adapter.
+/// One version of a model or an adapter.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Its kind; models come before adapters.
+    /// Kind of the weights; models sort before adapters.
     pub kind: Kind,
-    /// Its name.
+    /// Name of the model or adapter.
     pub name: String,
-    /// Its version.
+    /// Version of the model or adapter.
     pub version: String,
 }
 
-/// What an engine does.
+/// Phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prefill and decode.
+    /// The engine runs prefill and decode.
     #[default]
     Both,
-    /// Prefill only.
+    /// The engine runs only prefill.
     Prefill,
-    /// Decode only.
+    /// The engine runs only decode.
     Decode,
 }
 
-/// What an engine has loaded, and its role.
+/// Loaded weights and role of an engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Setup {
-    /// Models and adapters.
+    /// Loaded models and adapters.
     pub weights: BTreeSet<Weights>,
-    /// Its role.
+    /// Role of the engine.
     pub role: Role,
 }
 
-/// One step towards a setup; repeating it changes nothing.
+/// One step towards a desired setup; carrying it out repeatedly has no further effect.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Load this.
+    /// Load a model or an adapter.
     Load(Weights),
-    /// Drop this.
+    /// Unload a model or an adapter.
     Unload(Weights),
-    /// Take this role.
+    /// Change the role.
     SetRole(Role),
 }
 
-/// An order as an engine gets it.
+/// An order with a fencing number, as it is sent to an engine.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fenced {
-    /// Fencing number of who gives it; an engine that checks refuses one below the highest that
-    /// it has seen.
+    /// Fencing number of the agent that sends the order; an engine that checks fencing numbers rejects
+    /// an order whose number is below the highest that the engine has received.
     pub fence: Offset,
-    /// What to do.
+    /// The order to carry out.
     pub order: Order,
 }
 
 impl Setup {
-    /// The next step from this setup to another: memory is freed first, a model is loaded before
-    /// its adapters.
+    /// Returns the next step from this setup to a desired one; `None` if they are equal. Weights are
+    /// unloaded first to free memory, adapters before models; models are loaded before adapters.
     pub fn next(&self, desired: &Setup) -> Option<Order> {
         if let Some(extra) = self.weights.difference(&desired.weights).last() {
             return Some(Order::Unload(extra.clone()));
@@ -90,7 +90,7 @@
         (self.role != desired.role).then_some(Order::SetRole(desired.role))
     }
 
-    /// Carries an order out.
+    /// Changes the setup as an engine does when it carries out an order.
     pub fn apply(&mut self, order: Order) {
         match order {
             Order::Load(weights) => {
--- a/components/model/src/snapshot.rs
+++ b/components/model/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the configuration, cut into parts that fit a record of the log.
+//! Snapshots of the configuration, split into parts that each fit into a record of the log.
 
 use std::collections::BTreeMap;
 
@@ -6,62 +6,64 @@
 
 use crate::id::Offset;
 
-/// Largest text of one part, in bytes.
+/// Maximum size of the text of one part, in bytes.
 pub const PART_BYTES: usize = 256 << 10;
 
-/// What all parts of one snapshot share.
+/// Header that all parts of a snapshot share.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Head {
-    /// Highest offset that is applied in it.
+    /// Highest configuration offset that the snapshot includes.
     pub as_of: Offset,
-    /// Number of its parts.
+    /// Number of the snapshot's parts.
     pub count: u32,
-    /// BLAKE3 hash of the whole text, in hex.
+    /// BLAKE3 hash of the snapshot's complete text, in hex.
     pub digest: String,
 }
 
-/// One part.
+/// One part of a snapshot.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
-    /// The snapshot that it belongs to.
+    /// Header of the snapshot that the part belongs to.
     pub head: Head,
-    /// Its place, from 0.
+    /// Position of the part in the snapshot, from 0.
     pub index: u32,
-    /// Its text.
+    /// Text of the part.
     pub text: String,
 }
 
-/// A snapshot with all its parts, and the digest checked.
+/// A complete snapshot whose digest was checked.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Whole {
-    /// Highest offset that is applied in it.
+    /// Highest configuration offset that the snapshot includes.
     pub as_of: Offset,
-    /// Its text.
+    /// Complete text of the snapshot.
     pub text: String,
 }
 
-/// Collects parts in any order, also of several snapshots at once.
+/// Reassembles snapshots from parts, which may arrive in any order and belong to several snapshots.
 #[derive(Debug, Default)]
 pub struct Assembly {
-    open: BTreeMap<Head, BTreeMap<u32, String>>,
+    /// Texts of the parts received so far, by snapshot and index.
+    incomplete: BTreeMap<Head, BTreeMap<u32, String>>,
 }
 
 impl Assembly {
-    /// Adds a part; gives the snapshot that it makes whole, if its digest is right.
+    /// Adds a part. Returns the snapshot if this part completes it and its digest matches; a complete
+    /// snapshot with a wrong digest is dropped.
     pub fn add(&mut self, part: Part) -> Option<Whole> {
         let count = part.head.count as usize;
-        let texts = self.open.entry(part.head.clone()).or_default();
+        let texts = self.incomplete.entry(part.head.clone()).or_default();
         texts.insert(part.index, part.text);
         if texts.len() < count {
             return None;
         }
-        let texts = self.open.remove(&part.head)?;
+        let texts = self.incomplete.remove(&part.head)?;
         let text: String = texts.into_values().collect();
         (digest(&text) == part.head.digest).then_some(Whole { as_of: part.head.as_of, text })
     }
 }
 
-/// Cuts a snapshot's text into parts.
+/// Splits a snapshot's text into parts of at most [`PART_BYTES`].
 pub fn split(as_of: Offset, text: &str) -> Vec<Part> {
     let mut texts = Vec::new();
     let mut rest = text;
--- a/components/model/src/suspect.rs
+++ b/components/model/src/suspect.rs
@@ -1,62 +1,63 @@
-//! Bodies that may crash a target: their fingerprints, and the records of crashes.
+//! Request bodies that are suspected of crashing targets, and the records of the crash stream.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
 
 use crate::id::{Fingerprint, TargetName};
 
-/// Version of the record's own form; a reader passes over one that it doesn't know.
+/// Version of the record format; readers skip records of other versions.
 pub const SCHEMA: u32 = 1;
 
-/// What an agent is told of a request's body before it gets it.
+/// Description of a request's body, which an agent receives with the reservation, before the body.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Body {
-    /// Its fingerprint.
+    /// Fingerprint of the body.
     pub fingerprint: Fingerprint,
-    /// Whether it is suspected: nothing else may run beside it.
+    /// Whether the body is suspected of crashing targets, so that no other request may run on the target
+    /// at the same time.
     pub alone: bool,
 }
 
-/// An engine died.
+/// Record of an engine that died.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Crash {
-    /// The target whose engine it was.
+    /// Name of the engine's target.
     pub target: TargetName,
-    /// Bodies that it ran.
+    /// Fingerprints of the bodies that the engine was running and that no earlier record names.
     #[serde_as(as = "Vec<Hex>")]
     pub running: Vec<Fingerprint>,
-    /// Whether the only one of them was suspected before and ran alone.
+    /// Whether the engine was running only one body, which was suspected before and ran alone.
     pub alone: bool,
 }
 
-/// A suspected body ran alone to its end.
+/// Record of a suspected body that ran alone and got a complete answer, which clears it.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clear {
-    /// The body.
+    /// Fingerprint of the body.
     #[serde_as(as = "Hex")]
     pub fingerprint: Fingerprint,
 }
 
-/// What a record tells.
+/// Event that a record of the crash stream reports.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     /// An engine died.
     Crash(Crash),
-    /// A suspected body ran alone to its end.
+    /// A suspected body ran alone and got a complete answer.
     Clear(Clear),
 }
 
-/// One record of the stream of crashes.
+/// One record of the crash stream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Form of this record; see [`SCHEMA`].
+    /// Version of the record format; see [`SCHEMA`].
     pub schema: u32,
-    /// What it tells.
+    /// Event that the record reports.
     pub action: Action,
 }
