--- a/components/agent/src/admission/control.rs
+++ b/components/agent/src/admission/control.rs
@@ -17,7 +17,7 @@
 
 use super::{
     Look, Seen,
-    queue::{self, Granted, Queue},
+    queue::{self, Queue, ReserveAnswer},
 };
 
 /// Longest sleep of the control task while no timer is due.
@@ -27,12 +27,25 @@
 /// Timeout of a probe; short because the probed target is on the agent's host.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// Message to the control task.
 enum Message {
-    Reserve { ask: Ask, target: Target, limit: Option<Limit>, reply: oneshot::Sender<Granted> },
+    Reserve {
+        ask: Ask,
+        target: Target,
+        limit: Option<Limit>,
+        reply: oneshot::Sender<ReserveAnswer>,
+    },
     Cancel(SocketAddr, Id),
-    Hold { id: Id, address: SocketAddr, reply: oneshot::Sender<Fate> },
+    Hold {
+        id: Id,
+        address: SocketAddr,
+        reply: oneshot::Sender<Fate>,
+    },
     Released(SocketAddr, Id),
-    Probed { address: SocketAddr, result: Seen },
+    Probed {
+        address: SocketAddr,
+        result: Seen,
+    },
     Drain,
 }
 
@@ -50,6 +63,7 @@
     control: Handle,
 }
 
+/// State of the control task.
 struct Task {
     /// Queues by the address of the target: the one on this host, and those without an agent of
     /// their own.
@@ -71,7 +85,12 @@
 impl Handle {
     /// Waits until the reservation is granted or denied; dropping the future cancels it. Returns
     /// `None` if the control task ended.
-    pub async fn reserve(&self, ask: Ask, target: Target, limit: Option<Limit>) -> Option<Granted> {
+    pub async fn reserve(
+        &self,
+        ask: Ask,
+        target: Target,
+        limit: Option<Limit>,
+    ) -> Option<ReserveAnswer> {
         let mut guard = self.send_on_drop(Message::Cancel(target.address, ask.id));
         let (reply, answer) = oneshot::channel();
         self.send(Message::Reserve { ask, target, limit, reply });
--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -29,13 +29,13 @@
 const IDLE_TTL: Duration = Duration::from_secs(10);
 
 /// Answer to a reservation.
-pub type Granted = Result<Grant, Denial>;
+pub type ReserveAnswer = Result<Grant, Denial>;
 
 /// The reservations of one target and what is known of its load.
 pub struct Queue {
     state: State,
     /// Reply channels of the waiting reservations.
-    replies: HashMap<Id, oneshot::Sender<Granted>>,
+    replies: HashMap<Id, oneshot::Sender<ReserveAnswer>>,
     target: Target,
     /// Requests at the target beyond those with a slot held here, by the last probe.
     unreserved: usize,
@@ -95,7 +95,7 @@
     }
 
     /// Enqueues a reservation. The reply is sent once the reservation is granted or denied.
-    pub fn reserve(&mut self, ask: Ask, target: Target, reply: oneshot::Sender<Granted>) {
+    pub fn reserve(&mut self, ask: Ask, target: Target, reply: oneshot::Sender<ReserveAnswer>) {
         self.last_reserved = Instant::now();
         if self.target != target {
             self.target = target;
@@ -158,7 +158,7 @@
         effects
     }
 
-    fn answer(&mut self, id: Id, granted: Granted) {
+    fn answer(&mut self, id: Id, granted: ReserveAnswer) {
         let Load { running, waiting, .. } = self.state.load();
         let reason = granted.as_ref().err().map(|denial| format!("{:?}", denial.reason));
         let (request, number, to) = (id.request, id.attempt, self.target.address);
--- a/components/agent/src/admission/service.rs
+++ b/components/agent/src/admission/service.rs
@@ -19,6 +19,7 @@
 
 use super::control;
 
+/// Handler of the calls.
 #[derive(Clone)]
 struct Server {
     control: control::Handle,
--- a/components/agent/src/claims.rs
+++ b/components/agent/src/claims.rs
@@ -163,7 +163,7 @@
         self.traffic.spawn(async move {
             let answer = ask(&pool, address, question).await;
             let Question { key, incarnation, .. } = question;
-            control.claims(Message::Event(Event::Answered { key, incarnation, answer }));
+            control.send_to_claims(Message::Event(Event::Answered { key, incarnation, answer }));
         });
     }
 
@@ -179,7 +179,7 @@
                 }
             }
             if !all_arrived {
-                control.claims(Message::Event(Event::HandOverFailed));
+                control.send_to_claims(Message::Event(Event::HandOverFailed));
             }
             let _ = reply.send(all_arrived);
         });
--- a/components/agent/src/config.rs
+++ b/components/agent/src/config.rs
@@ -165,8 +165,8 @@
         let desired = state.target(&target).and_then(|target| target.setup.clone());
         drop(state);
         info!(applied, "configuration applied");
-        control.event(Event::Heard(applied));
-        control.orders(order::Event::Desired(desired));
+        control.send_event(Event::Heard(applied));
+        control.send_to_orders(order::Event::Desired(desired));
         shared.applied.send_replace(applied);
     })
 }
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -46,13 +46,14 @@
 }
 
 /// Answer to a reservation.
-type Granted = Result<Grant, Denial>;
+type ReserveAnswer = Result<Grant, Denial>;
 /// Answer to a start: the run, or the state of the reservation that forbids the start.
-type Started = Result<Run, Fate>;
+type StartAnswer = Result<Run, Fate>;
 
+/// Message to the control thread.
 enum Message {
-    Reserve { ask: Ask, reply: oneshot::Sender<Granted> },
-    Start { run: Run, reply: oneshot::Sender<Started> },
+    Reserve { ask: Ask, reply: oneshot::Sender<ReserveAnswer> },
+    Start { run: Run, reply: oneshot::Sender<StartAnswer> },
     Cancel { id: Id, reply: Option<oneshot::Sender<Fate>> },
     Settle { id: Id, reply: oneshot::Sender<Fate> },
     Event(Event),
@@ -67,7 +68,7 @@
 /// Reply channel of the message that is being reduced.
 enum Reply {
     None,
-    Start { run: Run, reply: oneshot::Sender<Started> },
+    Start { run: Run, reply: oneshot::Sender<StartAnswer> },
     Fate(oneshot::Sender<Fate>),
     Crash(oneshot::Sender<Crash>),
 }
@@ -98,6 +99,7 @@
     is_waiting: bool,
 }
 
+/// State of the control thread.
 struct Thread {
     state: State,
     recorder: Recorder,
@@ -106,7 +108,7 @@
     status: watch::Sender<Status>,
     metrics: Arc<metrics::Agent>,
     /// Reply channels of the waiting reservations.
-    waiting_replies: HashMap<Id, oneshot::Sender<Granted>>,
+    waiting_replies: HashMap<Id, oneshot::Sender<ReserveAnswer>>,
     claims: claims::Executor,
     members: watch::Receiver<claims::Status>,
     orders: orders::Executor,
@@ -116,7 +118,8 @@
 
 /// Starts the control thread.
 ///
-/// Must be called on the traffic runtime.
+/// This function must be called on the traffic runtime, which the control thread uses for its
+/// network calls.
 pub fn spawn(
     settings: &settings::Agent,
     incarnation: IncarnationId,
@@ -164,7 +167,7 @@
 impl Handle {
     /// Waits until the reservation is granted or denied; dropping the future cancels it. Returns
     /// `None` if the control thread ended.
-    pub async fn reserve(&self, ask: Ask) -> Option<Granted> {
+    pub async fn reserve(&self, ask: Ask) -> Option<ReserveAnswer> {
         let mut guard = CancelOnDrop { id: ask.id, control: self.clone(), is_waiting: true };
         let (reply, answer) = oneshot::channel();
         self.send(Message::Reserve { ask, reply });
@@ -198,7 +201,7 @@
     }
 
     /// Feeds an event to the admission reducer without waiting for its effects.
-    pub fn event(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
@@ -208,12 +211,12 @@
     }
 
     /// Returns a receiver for changes of the agent's membership and claims.
-    pub fn members(&self) -> watch::Receiver<claims::Status> {
+    pub fn membership_status(&self) -> watch::Receiver<claims::Status> {
         self.members.clone()
     }
 
     /// Feeds a message to the reducer of claims.
-    pub fn claims(&self, message: claims::Message) {
+    pub fn send_to_claims(&self, message: claims::Message) {
         self.send(Message::Claims(message));
     }
 
@@ -224,14 +227,14 @@
 
     /// Reports that the target accepts no connections any more. Returns the crash to record; `None`
     /// if an earlier report has returned it already.
-    pub async fn died(&self) -> Option<Crash> {
+    pub async fn report_target_death(&self) -> Option<Crash> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::TargetDied(reply));
         answer.await.ok()
     }
 
     /// Feeds an event to the reducer of orders.
-    pub fn orders(&self, event: order::Event) {
+    pub fn send_to_orders(&self, event: order::Event) {
         self.send(Message::Orders(event));
     }
 
@@ -272,7 +275,7 @@
     fn drop(&mut self) {
         if self.is_dispatched {
             if self.finish.digest.is_some() {
-                self.control.event(Event::Served(self.id));
+                self.control.send_event(Event::Served(self.id));
             }
             self.control.send(Message::Ended { id: self.id, finish: self.finish });
         }
@@ -406,7 +409,7 @@
         }
     }
 
-    fn answer(&mut self, id: Id, granted: Granted) {
+    fn answer(&mut self, id: Id, granted: ReserveAnswer) {
         if let Some(reply) = self.waiting_replies.remove(&id) {
             let _ = reply.send(granted);
         }
--- a/components/agent/src/crashes.rs
+++ b/components/agent/src/crashes.rs
@@ -30,7 +30,7 @@
 const APPEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Checks the target after a broken connection.
-pub struct Watch {
+pub struct CrashDetector {
     engine: SocketAddr,
     log: Client,
     control: control::Handle,
@@ -43,10 +43,10 @@
     traffic: runtime::Handle,
 }
 
-/// Returns the watch over a target.
-pub fn watch(settings: &settings::Agent, control: control::Handle) -> Watch {
+/// Returns the crash detector of an agent's target.
+pub fn detector(settings: &settings::Agent, control: control::Handle) -> CrashDetector {
     let log = log::open(&settings.platform.log);
-    Watch { engine: settings.engine.address, log, control }
+    CrashDetector { engine: settings.engine.address, log, control }
 }
 
 /// Returns the executor of a new agent; must be called on the traffic runtime.
@@ -55,23 +55,23 @@
     Executor { target: settings.target.clone(), log, traffic: runtime::Handle::current() }
 }
 
-impl Watch {
+impl CrashDetector {
     /// Checks whether the target died when the connection of a run broke. Returns only after a crash
     /// is recorded or recording it timed out, so that a caller that sends the request again finds
     /// the record.
     pub async fn check(&self, id: Id) {
-        self.control.event(Event::Lost(id));
+        self.control.send_event(Event::Lost(id));
         if self.is_alive().await {
-            return self.control.event(Event::Lives);
+            return self.control.send_event(Event::Lives);
         }
-        if let Some(crash) = self.control.died().await {
+        if let Some(crash) = self.control.report_target_death().await {
             error!(bodies = crash.running.len(), alone = crash.alone, "the target died");
             append(&self.log, Action::Crash(crash)).await;
         }
     }
 }
 
-impl Watch {
+impl CrashDetector {
     /// Returns whether the target accepts connections. Probes twice, because a dying process may
     /// close its connections before its listener.
     async fn is_alive(&self) -> bool {
--- a/components/agent/src/lib.rs
+++ b/components/agent/src/lib.rs
@@ -72,7 +72,7 @@
     let context = Arc::new(traffic::Context {
         control: control.clone(),
         engine: engine::open(settings.engine.address),
-        crashes: crashes::watch(&settings, control.clone()),
+        crash_detector: crashes::detector(&settings, control.clone()),
         metrics: Arc::clone(&metrics),
     });
     let traffic_server = server::bind(settings.listen.traffic, context).await?;
--- a/components/agent/src/membership.rs
+++ b/components/agent/src/membership.rs
@@ -56,14 +56,14 @@
     control: control::Handle,
 ) -> Handle {
     let log = log::open(&settings.platform.log);
-    let status = control.members();
+    let status = control.membership_status();
     let stream_control = control.clone();
     let reader = tail::spawn(log.clone(), MEMBERSHIP, POLL_TIMEOUT, move |news| {
         let confirmed = match news {
             News::Records(_) => None,
             News::CaughtUp { asked } => Some(asked),
         };
-        stream_control.claims(Message::Event(event(news)));
+        stream_control.send_to_claims(Message::Event(claim_event(news)));
         // The confirmation must follow the records that it covers.
         confirmed.into_iter().for_each(|asked| stream_control.confirm_membership(asked));
     });
@@ -105,15 +105,15 @@
     /// rest, then appends the record that moves the keys to the other members.
     async fn try_leave(&mut self) -> Result<(), log::Error> {
         self.hand_over().await;
-        self.control.claims(Message::Event(Event::Freeze));
+        self.control.send_to_claims(Message::Event(Event::Freeze));
         self.hand_over().await;
         let Some(epoch) = self.status.borrow().handed_over else {
-            self.control.claims(Message::Event(Event::Thaw));
+            self.control.send_to_claims(Message::Event(Event::Thaw));
             return Err(log::Error::Busy);
         };
         match self.append(Some(epoch)).await {
             Err(error @ (log::Error::Unreachable | log::Error::Busy)) => {
-                self.control.claims(Message::Event(Event::Thaw));
+                self.control.send_to_claims(Message::Event(Event::Thaw));
                 Err(error)
             }
             // The record is in the log or may be: no key is granted until a later epoch is applied
@@ -121,7 +121,7 @@
             _ => {
                 self.wait_for(|status| status.epoch > epoch).await;
                 if self.is_member() && self.status.borrow().epoch > epoch {
-                    self.control.claims(Message::Event(Event::Thaw));
+                    self.control.send_to_claims(Message::Event(Event::Thaw));
                 }
                 Ok(())
             }
@@ -131,7 +131,7 @@
     /// Leaves without handing claims over: stops granting keys and records the leave. The claims
     /// are lost.
     async fn leave_without_hand_over(&mut self) {
-        self.control.claims(Message::Event(Event::Freeze));
+        self.control.send_to_claims(Message::Event(Event::Freeze));
         match timeout(READ_BACK_TIMEOUT, self.append(None)).await {
             Ok(Ok(offset)) => info!(offset, "left the membership without handing claims over"),
             Ok(Err(error)) => warn!(%error, "recording the leave failed; the claims are lost"),
@@ -141,7 +141,7 @@
 
     async fn hand_over(&self) {
         let (reply, done) = oneshot::channel();
-        self.control.claims(Message::HandOver { reply });
+        self.control.send_to_claims(Message::HandOver { reply });
         // The status says whether all claims arrived.
         let _ = done.await;
     }
@@ -166,7 +166,7 @@
 /// Joins, and joins again as a new incarnation whenever another process has declared this agent
 /// lost. Doesn't join again once another agent of the same target has joined.
 async fn keep_joined(log: Client, mut join: Join, control: control::Handle) {
-    let mut status = control.members();
+    let mut status = control.membership_status();
     loop {
         join_members(&log, &join, &mut status).await;
         // An error means that the control thread ended.
@@ -179,7 +179,7 @@
         }
         warn!("another process declared this agent lost; joining again");
         join.incarnation = Uuid::new_v4();
-        control.claims(Message::Event(Event::Rejoin(join.incarnation)));
+        control.send_to_claims(Message::Event(Event::Rejoin(join.incarnation)));
     }
 }
 
@@ -207,7 +207,8 @@
     log.append(MEMBERSHIP, &payload).await
 }
 
-fn event(news: News) -> Event {
+/// Converts news of the membership stream to an event of the reducer of claims.
+fn claim_event(news: News) -> Event {
     let record = |r: log::Record| entry::Record { offset: r.offset, payload: r.payload };
     match news {
         News::Records(records) => Event::Records(records.into_iter().map(record).collect()),
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -69,7 +69,7 @@
         };
         let engine = self.engine;
         let control = self.control.clone();
-        self.traffic.spawn(async move { control.orders(carry_out(engine, effect).await) });
+        self.traffic.spawn(async move { control.send_to_orders(carry_out(engine, effect).await) });
     }
 
     /// Returns when the next tick is due; `None` if no timer is set.
--- a/components/agent/src/service.rs
+++ b/components/agent/src/service.rs
@@ -92,24 +92,24 @@
 
     async fn claim(self, _: Context, ask: claim::Ask) -> Verdict {
         let (reply, verdict) = oneshot::channel();
-        self.control.claims(Message::Claim { ask, reply });
+        self.control.send_to_claims(Message::Claim { ask, reply });
         verdict.await.unwrap_or(Verdict::Leaving)
     }
 
     async fn settle_claim(self, _: Context, settle: Settle) -> bool {
         let (reply, taken) = oneshot::channel();
-        self.control.claims(Message::Settle { settle, reply });
+        self.control.send_to_claims(Message::Settle { settle, reply });
         taken.await.unwrap_or(false)
     }
 
     async fn ask_claim(self, _: Context, question: Question) -> Answer {
         let (reply, answer) = oneshot::channel();
-        self.control.claims(Message::Ask { question, reply });
+        self.control.send_to_claims(Message::Ask { question, reply });
         answer.await.unwrap_or(Answer::Stranger)
     }
 
     async fn hand_over(self, _: Context, claims: Vec<Transfer>) {
-        self.control.claims(Message::Event(scheduler::claim::Event::Received(claims)));
+        self.control.send_to_claims(Message::Event(scheduler::claim::Event::Received(claims)));
     }
 
     async fn status(self, _: Context) -> Status {
--- a/components/agent/src/traffic.rs
+++ b/components/agent/src/traffic.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     control::{self, Run},
-    crashes::Watch,
+    crashes::CrashDetector,
     engine::{Call, Engine},
 };
 
@@ -44,7 +44,7 @@
     /// HTTP client of the target.
     pub engine: Engine,
     /// Detects whether a broken connection means that the target died.
-    pub crashes: Watch,
+    pub crash_detector: CrashDetector,
     /// Metrics of the agent.
     pub metrics: Arc<metrics::Agent>,
 }
@@ -126,7 +126,7 @@
             warn!(%request, %error, ran = ?error.ran(), "no answer from the target");
             run.finish(Finish { ran: error.ran(), digest: None });
             if error.ran() != Ran::NotRun {
-                context.crashes.check(writer.id).await;
+                context.crash_detector.check(writer.id).await;
             }
             writer.fail(error.ran(), &error.to_string()).await
         }
@@ -176,7 +176,7 @@
                 return writer.end().await;
             }
             Some(Err(_)) | None => {
-                context.crashes.check(writer.id).await;
+                context.crash_detector.check(writer.id).await;
                 return writer.fail(Ran::Yes, "the target's answer was cut off").await;
             }
         }
