--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -45,7 +45,7 @@
     last_reserved: Instant,
 }
 
-/// Returns an empty queue for a target, which is described as an entry process knows it.
+/// Returns an empty queue for a target; an entry process sent its description with a reservation.
 pub fn open(target: Target) -> Queue {
     let slots = target.slots as usize;
     let room = Room { slots, tokens: u64::MAX, waiting: MAX_WAITING, grant: GRANT_TTL };
--- a/components/wire/src/admission.rs
+++ b/components/wire/src/admission.rs
@@ -12,7 +12,7 @@
 
 use crate::{pool::Connecting, socket};
 
-/// A target, as the entry process that makes a reservation knows it.
+/// Description of a target, which an entry process sends with each reservation.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
     /// Address on which the target listens.
