--- a/components/entry/src/agents.rs
+++ b/components/entry/src/agents.rs
@@ -1,4 +1,4 @@
-//! Control calls to agents: one connection to each agent in use.
+//! Control calls to agents, over one pooled connection to each agent.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,25 +17,26 @@
     pool::{self, Error, Pool, context},
 };
 
-/// Time beyond a request's deadline for which a call is still answered.
-const GRACE: Duration = Duration::from_secs(1);
-/// Wait before an attempt's end is told again.
-const SETTLE_PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for the answer to a short call.
-const SHORT_CALL: Duration = Duration::from_millis(500);
+/// Time beyond the request's deadline for which a reserve call still waits for its answer.
+const RESERVE_GRACE: Duration = Duration::from_secs(1);
+/// Delay before the outcome of an attempt is reported again.
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of every control call except `reserve`.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Batches of one agent's evidence.
-pub struct Fetched {
+/// Evidence batches that were fetched from one agent.
+pub struct FetchedBatches {
     client: AgentClient,
-    /// The batches, in their order.
-    pub handed: Vec<Handed>,
+    /// Batches in the order of their sequence numbers.
+    pub batches: Vec<Handed>,
 }
 
-impl Fetched {
-    /// Tells the agent that they are in the log. An agent that can't be told gives them again.
+impl FetchedBatches {
+    /// Confirms to the agent that the batches are in the log. If the call fails, the agent hands
+    /// the same batches over again.
     pub async fn confirm(self) {
-        let sequences = self.handed.iter().map(|handed| handed.sequence).collect();
-        let _ = self.client.evidence_kept(context(SHORT_CALL), sequences).await;
+        let sequences = self.batches.iter().map(|batch| batch.sequence).collect();
+        let _ = self.client.evidence_kept(context(SHORT_CALL_TIMEOUT), sequences).await;
     }
 }
 
@@ -46,15 +47,15 @@
 }
 
 impl Agents {
-    /// Gives a set without connections.
+    /// Returns a set that has no connections yet; `connect` is the timeout for opening one.
     pub fn open(connect: Duration) -> Agents {
         Agents { pool: pool::open(connect, control::connect) }
     }
 
-    /// Asks for room and gives the event that the answer makes.
+    /// Asks an agent for a reservation and returns the event for its answer.
     pub async fn reserve(&self, address: SocketAddr, ask: Ask) -> Event {
         let id = ask.id;
-        let deadline = ask.remaining + GRACE;
+        let deadline = ask.remaining + RESERVE_GRACE;
         let answer = match self.pool.client(address).await {
             Ok(client) => client.reserve(context(deadline), ask).await.map_err(Error::Call),
             Err(error) => Err(error),
@@ -63,55 +64,59 @@
             Ok(Ok(grant)) => Event::Granted { id, grant },
             Ok(Err(denial)) => Event::Denied { id, denial },
             Err(error) => {
-                debug!(%address, %error, "no reservation");
+                debug!(%address, %error, "the reserve call failed");
                 self.pool.forget(address).await;
                 Event::Unreachable { id }
             }
         }
     }
 
-    /// Gives a reservation up; an agent that can't be told lets it lapse.
+    /// Cancels a reservation. If the call fails, the reservation expires at the agent.
     pub async fn cancel(&self, address: SocketAddr, id: Id) {
         let Ok(client) = self.pool.client(address).await else {
             return;
         };
-        if let Err(error) = client.cancel(context(SHORT_CALL), id).await {
-            debug!(%address, %error, "no cancel");
+        if let Err(error) = client.cancel(context(SHORT_CALL_TIMEOUT), id).await {
+            debug!(%address, %error, "the cancel call failed");
         }
     }
 
-    /// Asks what became of a reservation; one that hasn't started never will.
+    /// Asks an agent for the fate of a reservation. One that hasn't started can't start any more
+    /// after this call.
     pub async fn settle(&self, address: SocketAddr, id: Id) -> Result<Fate, Error> {
         let client = self.pool.client(address).await?;
-        Ok(client.settle(context(SHORT_CALL), id).await?)
+        Ok(client.settle(context(SHORT_CALL_TIMEOUT), id).await?)
     }
 
-    /// Fetches evidence from every agent that is connected.
-    pub async fn evidence(&self) -> Vec<Fetched> {
+    /// Fetches evidence from all connected agents. Agents without batches, or that don't answer,
+    /// are left out.
+    pub async fn fetch_evidence(&self) -> Vec<FetchedBatches> {
         let clients = self.pool.connected().await;
         let each = clients.into_iter().map(|client| async move {
-            let handed = client.evidence(context(SHORT_CALL)).await.unwrap_or_default();
-            Fetched { client, handed }
+            let batches = client.evidence(context(SHORT_CALL_TIMEOUT)).await.unwrap_or_default();
+            FetchedBatches { client, batches }
         });
         let all = future::join_all(each).await;
-        all.into_iter().filter(|fetched| !fetched.handed.is_empty()).collect()
+        all.into_iter().filter(|fetched| !fetched.batches.is_empty()).collect()
     }
 
-    /// Asks a key's home for the key and gives the event that the answer makes.
+    /// Asks the home of an idempotency key, which is the agent responsible for it, to grant the key
+    /// to a request. Returns the event for the answer.
     pub async fn claim(&self, address: SocketAddr, request: RequestId, ask: claim::Ask) -> Event {
         let answer = match self.pool.client(address).await {
-            Ok(client) => client.claim(context(SHORT_CALL), ask).await.map_err(Error::Call),
+            Ok(client) => client.claim(context(SHORT_CALL_TIMEOUT), ask).await.map_err(Error::Call),
             Err(error) => Err(error),
         };
         if let Err(error) = &answer {
-            debug!(%address, %error, "no claim");
+            debug!(%address, %error, "the claim call failed");
             self.pool.forget(address).await;
         }
         Event::Claimed { request, verdict: answer.ok() }
     }
 
-    /// Tells a key's home what became of an attempt; gives an event where it has to be told
-    /// again, perhaps elsewhere.
+    /// Reports the outcome of an attempt to the home of its idempotency key. If the call isn't
+    /// accepted, returns the event that makes the reducer report it again, perhaps to another
+    /// agent.
     pub async fn settle_claim(
         &self,
         address: SocketAddr,
@@ -120,7 +125,7 @@
     ) -> Option<Event> {
         let answer = match self.pool.client(address).await {
             Ok(client) => {
-                client.settle_claim(context(SHORT_CALL), settle).await.map_err(Error::Call)
+                client.settle_claim(context(SHORT_CALL_TIMEOUT), settle).await.map_err(Error::Call)
             }
             Err(error) => Err(error),
         };
@@ -128,10 +133,10 @@
             return None;
         }
         if let Err(error) = answer {
-            debug!(%address, %error, "no settlement");
+            debug!(%address, %error, "reporting an attempt's outcome failed; retrying");
             self.pool.forget(address).await;
         }
-        sleep(SETTLE_PAUSE).await;
+        sleep(SETTLE_RETRY_DELAY).await;
         Some(Event::Unsettled { settle, tries })
     }
 }
--- a/components/entry/src/append.rs
+++ b/components/entry/src/append.rs
@@ -1,4 +1,4 @@
-//! Appends evidence to the platform's log: this process's own, and that of agents.
+//! Appends evidence to the platform's log: that of this process and that of connected agents.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -18,12 +18,12 @@
 use tracing::warn;
 use uuid::Uuid;
 
-use crate::agents::{Agents, Fetched};
+use crate::agents::{Agents, FetchedBatches};
 
-/// Longest wait for the log at the end of the process.
-const FLUSH_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout for appending the remaining evidence when the process stops.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The running appender.
+/// A handle to the running appender task.
 pub struct Handle {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -35,7 +35,7 @@
     agents: Arc<Agents>,
 }
 
-/// Starts the chain of this run of the process.
+/// Opens the outbox for the evidence chain of this run of the process.
 pub fn open(settings: &settings::Entry) -> Outbox {
     let process = Process {
         role: Role::Entry,
@@ -46,7 +46,7 @@
     outbox::open(process, SystemTime::now())
 }
 
-/// Starts to append what is recorded, once in a period.
+/// Starts the task that appends recorded evidence once per `timing.evidence`.
 pub fn spawn(settings: &settings::Entry, outbox: Outbox, agents: Arc<Agents>) -> Handle {
     let log = log::open(&settings.platform.log);
     let shared = Arc::new(Shared { outbox: Mutex::new(outbox), log, agents });
@@ -56,11 +56,11 @@
 }
 
 impl Handle {
-    /// Appends the rest and ends.
+    /// Stops the periodic task and appends the remaining evidence.
     pub async fn flush(&self) {
         self.task.abort();
-        if timeout(FLUSH_LIMIT, self.shared.round()).await.is_err() {
-            warn!("evidence may be lost: the log didn't answer");
+        if timeout(FLUSH_TIMEOUT, self.shared.append_pending()).await.is_err() {
+            warn!("evidence may be lost: appending the rest timed out");
         }
     }
 }
@@ -68,39 +68,46 @@
 async fn run(shared: Arc<Shared>, period: Duration) {
     loop {
         sleep(period).await;
-        shared.round().await;
+        shared.append_pending().await;
     }
 }
 
 impl Shared {
-    /// Appends everything that there is. What can't be appended stays where it was.
-    async fn round(&self) {
-        let own = self.seal();
-        let fetched = self.agents.evidence().await;
-        let handed = fetched.iter().flat_map(|fetched| &fetched.handed).chain(&own);
-        let batches: Vec<Sealed> = handed.map(|handed| handed.sealed.clone()).collect();
+    /// Appends all pending evidence. Batches that can't be appended stay in the outbox or at their
+    /// agent, and the next call tries again.
+    async fn append_pending(&self) {
+        let own = self.seal_own();
+        let fetched = self.agents.fetch_evidence().await;
+        let handed_over = fetched.iter().flat_map(|fetched| &fetched.batches).chain(&own);
+        let batches: Vec<Sealed> = handed_over.map(|handed| handed.sealed.clone()).collect();
         match append::append(&self.log, &batches).await {
             Ok(()) => self.confirm(&own, fetched).await,
-            Err(error) => warn!(%error, batches = batches.len(), "evidence waits for the log"),
+            Err(error) => {
+                warn!(
+                    %error,
+                    batches = batches.len(),
+                    "evidence can't be appended to the log; retrying later"
+                );
+            }
         }
     }
 
-    fn seal(&self) -> Vec<Handed> {
-        let mut outbox = self.lock();
+    fn seal_own(&self) -> Vec<Handed> {
+        let mut outbox = self.lock_outbox();
         outbox.seal(SystemTime::now());
-        // Only this process appends them, so that nobody else needs a lease.
+        // Only this process appends its own batches, so that no lease is needed.
         outbox.hand_over(Instant::now(), Duration::ZERO)
     }
 
-    async fn confirm(&self, own: &[Handed], fetched: Vec<Fetched>) {
+    async fn confirm(&self, own: &[Handed], fetched: Vec<FetchedBatches>) {
         let sequences: Vec<Sequence> = own.iter().map(|handed| handed.sequence).collect();
-        self.lock().confirm(&sequences);
+        self.lock_outbox().confirm(&sequences);
         for fetched in fetched {
             fetched.confirm().await;
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Outbox> {
+    fn lock_outbox(&self) -> MutexGuard<'_, Outbox> {
         self.outbox.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' server.
+//! Endpoints of the callers' server: completions and calls to plain services.
 
 use std::{sync::Arc, time::Instant};
 
@@ -18,37 +18,37 @@
 use uuid::Uuid;
 
 use crate::{
-    control::{self, Ticket, Verdict},
+    control::{self, Decision, RequestHandle},
     fault::{self, Fault},
     read,
     relay::{self, Opened, Outgoing, Relay},
-    stream::{self, Account},
+    stream::{self, AnswerRecorder},
 };
 
-/// What the endpoints share.
+/// State that the callers' endpoints share.
 pub struct Context {
-    /// The control thread.
+    /// Handle to the control thread, which decides on every request.
     pub control: control::Handle,
-    /// The metrics.
+    /// Metrics of the entry process.
     pub metrics: Arc<metrics::Entry>,
-    /// Sends bodies to agents.
+    /// Client that sends request bodies to agents.
     pub relay: Relay,
 }
 
-/// What stands before the pool in the URI of a call to a plain service.
-const SERVICES: &str = "/v1/services/";
+/// Prefix of the URI of a call to a plain service; the pool's name follows it.
+const SERVICE_PREFIX: &str = "/v1/services/";
 
 type Answer = Result<Response<Body>, Fault>;
 
 #[derive(Deserialize, JsonSchema)]
 struct ServicePath {
     pool: PoolName,
-    /// Decoded, so not what the target is sent.
+    /// Path below the pool, decoded. Unused: the target is sent the path with its escapes.
     #[serde(rename = "path")]
     _path: Vec<String>,
 }
 
-/// Describes the callers' endpoints.
+/// Returns the description of the callers' endpoints.
 pub fn api() -> ApiDescription<Arc<Context>> {
     let mut api = ApiDescription::new();
     api.register(complete).expect("the path is free");
@@ -70,18 +70,18 @@
     run_completion(&context, "/v1/chat/completions", body).await
 }
 
-/// Calls a plain service.
+/// Sends a POST request to a plain service.
 #[endpoint { method = POST, path = "/v1/services/{pool}/{path:.*}", unpublished = true }]
 async fn call_service(
     context: RequestContext<Arc<Context>>,
     path: Path<ServicePath>,
     body: StreamingBody,
 ) -> Answer {
-    let body = collect(context.request.headers(), body).await?;
+    let body = read_body(context.request.headers(), body).await?;
     Ok(run_service(&context, Method::POST, path.into_inner(), body).await)
 }
 
-/// Reads from a plain service.
+/// Sends a GET request to a plain service.
 #[endpoint { method = GET, path = "/v1/services/{pool}/{path:.*}", unpublished = true }]
 async fn read_service(context: RequestContext<Arc<Context>>, path: Path<ServicePath>) -> Answer {
     Ok(run_service(&context, Method::GET, path.into_inner(), Bytes::new()).await)
@@ -93,19 +93,22 @@
     body: StreamingBody,
 ) -> Answer {
     let headers = context.request.headers();
-    let body = collect(headers, body).await?;
+    let body = read_body(headers, body).await?;
     let request = read::completion(Uuid::new_v4(), headers, &body);
     let outgoing = outgoing(headers, Method::POST, path.to_owned(), body);
     Ok(run(context.context(), request, outgoing).await)
 }
 
-/// Reads a whole body. One that can't be read is refused without a look at what became of its
-/// idempotency key, if it has one, so that the refusal can't say that the key didn't run.
-async fn collect(headers: &HeaderMap, body: StreamingBody) -> Result<Bytes, Fault> {
+/// Reads a whole request body. A body that can't be read is refused without checking whether the
+/// request's idempotency key, if it has one, already ran. The refusal then says that the request
+/// may have run.
+async fn read_body(headers: &HeaderMap, body: StreamingBody) -> Result<Bytes, Fault> {
     let chunks: Result<Vec<Bytes>, HttpError> = body.into_stream().try_collect().await;
     match chunks {
         Ok(chunks) => Ok(chunks.concat().into()),
-        Err(error) if headers.contains_key(read::KEY) => Err(Fault::from(error).may_have_run()),
+        Err(error) if headers.contains_key(read::IDEMPOTENCY_KEY_HEADER) => {
+            Err(Fault::from(error).may_have_run())
+        }
         Err(error) => Err(Fault::from(error)),
     }
 }
@@ -126,17 +129,19 @@
     run(context.context(), request, outgoing).await
 }
 
-/// What follows the pool in the caller's URI, with its escapes as they are.
+/// Returns the part of the caller's URI that follows the pool, with its escapes unchanged; `None`
+/// if the URI spells the pool's name in another way, for example with escapes.
 fn target_path(uri: &Uri, pool: &str) -> Option<String> {
-    let rest = uri.path_and_query()?.as_str().strip_prefix(SERVICES)?.strip_prefix(pool)?;
+    let rest = uri.path_and_query()?.as_str().strip_prefix(SERVICE_PREFIX)?.strip_prefix(pool)?;
     rest.starts_with('/').then(|| rest.to_owned())
 }
 
 fn outgoing(headers: &HeaderMap, method: Method, path: String, body: Bytes) -> Outgoing {
-    Outgoing { method, path, headers: relay::forwarded(headers), body }
+    Outgoing { method, path, headers: relay::forwarded_headers(headers), body }
 }
 
-/// Takes a request from its arrival to the head of its answer.
+/// Runs a request: submits it to the control thread, follows the decisions on it, and returns the
+/// answer of a target or a refusal.
 async fn run(context: &Arc<Context>, request: Request, outgoing: Outgoing) -> Response<Body> {
     let arrived = Instant::now();
     let id = request.id;
@@ -144,26 +149,26 @@
         fingerprint: model::id::fingerprint(&[outgoing.path.as_bytes(), &outgoing.body]),
         ..request
     };
-    let mut ticket = context.control.arrive(request);
+    let mut handle = context.control.submit(request);
     loop {
-        match ticket.verdict().await {
-            None => return refuse(context, id, &Owner::default(), fault::stopped()),
-            Some(Verdict::Refuse { owner, refusal }) => {
+        match handle.next_decision().await {
+            None => return refuse(context, id, &Owner::default(), fault::stopping()),
+            Some(Decision::Refuse { owner, refusal }) => {
                 return refuse(context, id, &owner, refusal);
             }
-            Some(Verdict::Start(start)) => match context.relay.start(&start, &outgoing).await {
+            Some(Decision::Start(start)) => match context.relay.start(&start, &outgoing).await {
                 Ok(opened) => {
-                    ticket.ran();
-                    return relay_answer(context, arrived, ticket, start, opened).await;
+                    handle.mark_ran();
+                    return relay_answer(context, arrived, handle, start, opened).await;
                 }
                 Err(relay::Error::NotStarted { unreachable }) => {
-                    ticket.not_started(start.id, unreachable);
+                    handle.mark_not_started(start.id, unreachable);
                 }
                 Err(relay::Error::Lost(refusal)) => {
                     if refusal.ran == Ran::Yes {
-                        ticket.ran();
+                        handle.mark_ran();
                     }
-                    ticket.torn(&refusal);
+                    handle.fail(&refusal);
                     return refuse(context, id, &start.owner, refusal);
                 }
             },
@@ -174,28 +179,28 @@
 async fn relay_answer(
     context: &Arc<Context>,
     arrived: Instant,
-    ticket: Ticket,
+    handle: RequestHandle,
     start: Start,
     opened: Opened,
 ) -> Response<Body> {
-    let account = Account {
+    let recorder = AnswerRecorder {
         id: start.id.request,
         owner: start.owner,
         arrived,
         metrics: context.metrics.clone(),
     };
     info!(
-        request = %account.id,
-        account = account.owner.account,
-        tier = account.owner.tier,
+        request = %recorder.id,
+        account = recorder.owner.account,
+        tier = recorder.owner.tier,
         target = start.target,
         status = opened.status.as_u16(),
-        "answering"
+        "relaying the answer"
     );
     if opened.is_event_stream() {
-        return stream::streamed(ticket, account, opened).await;
+        return stream::respond_streamed(handle, recorder, opened).await;
     }
-    stream::whole(ticket, account, opened).await
+    stream::respond_whole(handle, recorder, opened).await
 }
 
 fn refuse(context: &Context, id: RequestId, owner: &Owner, refusal: Refusal) -> Response<Body> {
@@ -205,7 +210,13 @@
     if refusal.ran == Ran::NotRun {
         info!(request = %id, account = owner.account, ?reason, message, "refused");
     } else {
-        warn!(request = %id, account = owner.account, ?reason, message, "lost");
+        warn!(
+            request = %id,
+            account = owner.account,
+            ?reason,
+            message,
+            "failed; the request may have run"
+        );
     }
     fault::answer(id, refusal)
 }
--- a/components/entry/src/control.rs
+++ b/components/entry/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: owns the reducer's state, takes events in and carries effects out.
+//! The control thread: owns the reducer's state, feeds events to the reducer and carries out the
+//! effects that the reducer returns.
 
 use std::{
     collections::HashMap,
@@ -28,81 +29,87 @@
 
 use crate::{agents::Agents, members};
 
-/// Longest sleep of the control thread, in case no timer is due.
-const IDLE: Duration = Duration::from_secs(60);
+/// Longest sleep of the control thread when the reducer has no timer pending.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// What the control thread decided for one request.
+/// A decision of the control thread on one request.
 #[derive(Clone, Debug)]
-pub enum Verdict {
-    /// Send the body there.
+pub enum Decision {
+    /// The request's body is sent to the agent that granted a reservation.
     Start(Start),
-    /// Answer with a refusal.
+    /// The request is answered with a refusal.
     Refuse {
-        /// Whose request it was.
+        /// Client account and tier of the request.
         owner: Owner,
-        /// What the caller is told.
+        /// The refusal that is sent to the caller.
         refusal: Refusal,
     },
 }
 
-/// What a process says of itself.
+/// Status of an entry process, for health checks, metrics and the graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Status {
-    /// Whether the balancer should send requests here.
+    /// Whether the load balancer should send requests to this process.
     pub ready: bool,
-    /// Configuration offset in force here.
+    /// Offset of the last configuration record that this process applied; 0 before the first.
     pub offset: Offset,
-    /// Requests that haven't ended.
+    /// Number of requests in progress.
     pub open: usize,
-    /// Whether it was asked to leave and nothing is left to do.
+    /// Whether the process was told to drain and has no request in progress.
     pub drained: bool,
 }
 
+/// A message to the control thread.
 enum Message {
-    Arrive { request: Box<Request>, verdicts: mpsc::UnboundedSender<Verdict> },
+    Arrive { request: Box<Request>, decisions: mpsc::UnboundedSender<Decision> },
     Event(Event),
     Outcome { request: RequestId, outcome: Outcome },
     Close(oneshot::Sender<()>),
     Inspect(Question),
 }
 
-/// Speaks to the control thread; clones speak to the same one.
+/// A handle to the control thread; clones refer to the same thread.
 #[derive(Clone)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
     status: watch::Receiver<Status>,
     applied: watch::Receiver<Offset>,
     history: Arc<History>,
-    wake: Arc<OnceLock<Waker>>,
+    waker: Arc<OnceLock<Waker>>,
 }
 
-/// One request's place at the control thread; dropping it ends the request.
-pub struct Ticket {
+/// One request's handle to the control thread: receives the decisions on the request and reports
+/// what became of its starts. Dropping the handle ends the request.
+pub struct RequestHandle {
     request: RequestId,
     control: Handle,
-    verdicts: mpsc::UnboundedReceiver<Verdict>,
+    decisions: mpsc::UnboundedReceiver<Decision>,
 }
 
+/// State of the control thread.
 struct Thread {
     state: State,
     recorder: Recorder,
-    /// Where evidence goes; `None` once the chain is closed.
+    /// Buffer that evidence is written to; `None` once the evidence chain is closed.
     evidence: Option<Buffer>,
     messages: mpsc::UnboundedSender<Message>,
     status: watch::Sender<Status>,
     applied: watch::Sender<Offset>,
     history: Arc<History>,
-    wake: Arc<OnceLock<Waker>>,
+    waker: Arc<OnceLock<Waker>>,
     metrics: Arc<metrics::Entry>,
     agents: Arc<Agents>,
     log: source::log::Client,
-    traffic: runtime::Handle,
-    verdicts: HashMap<RequestId, mpsc::UnboundedSender<Verdict>>,
-    reserving: HashMap<Id, AbortHandle>,
-    drained: bool,
+    traffic_runtime: runtime::Handle,
+    /// Senders of decisions to the handles of open requests.
+    decisions: HashMap<RequestId, mpsc::UnboundedSender<Decision>>,
+    /// Reserve calls in flight, to abort them when the reservation is cancelled.
+    reservation_calls: HashMap<Id, AbortHandle>,
+    is_drained: bool,
 }
 
-/// Starts the control thread; must be called on the traffic runtime.
+/// Starts the control thread. Must be called on the traffic runtime, which carries the control
+/// thread's calls to agents and to the log.
 pub fn spawn(
     settings: &settings::Entry,
     metrics: Arc<metrics::Entry>,
@@ -113,7 +120,7 @@
     let (status, status_reader) = watch::channel(Status::default());
     let (applied, applied_reader) = watch::channel(0);
     let history = Arc::new(History::default());
-    let wake = Arc::new(OnceLock::new());
+    let waker = Arc::new(OnceLock::new());
     let reducer = entry::Settings { waiting: settings.bounds.waiting, zone: settings.zone.clone() };
     let thread = Thread {
         state: entry::open(reducer),
@@ -123,163 +130,169 @@
         status,
         applied,
         history: Arc::clone(&history),
-        wake: Arc::clone(&wake),
+        waker: Arc::clone(&waker),
         metrics,
         agents,
         log: source::log::open(&settings.platform.log),
-        traffic: runtime::Handle::current(),
-        verdicts: HashMap::new(),
-        reserving: HashMap::new(),
-        drained: false,
+        traffic_runtime: runtime::Handle::current(),
+        decisions: HashMap::new(),
+        reservation_calls: HashMap::new(),
+        is_drained: false,
     };
     let runtime = runtime::Builder::new_current_thread().enable_time().build()?;
     thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || runtime.block_on(thread.run(inbox)))?;
-    Ok(Handle { messages, status: status_reader, applied: applied_reader, history, wake })
+    Ok(Handle { messages, status: status_reader, applied: applied_reader, history, waker })
 }
 
 impl Handle {
-    /// Brings a request before the reducer.
-    pub fn arrive(&self, request: Request) -> Ticket {
-        let (sender, verdicts) = mpsc::unbounded_channel();
+    /// Submits a request to the reducer; the decisions on it arrive at the returned handle.
+    pub fn submit(&self, request: Request) -> RequestHandle {
+        let (sender, decisions) = mpsc::unbounded_channel();
         let id = request.id;
-        self.send(Message::Arrive { request: Box::new(request), verdicts: sender });
-        Ticket { request: id, control: self.clone(), verdicts }
+        self.send(Message::Arrive { request: Box::new(request), decisions: sender });
+        RequestHandle { request: id, control: self.clone(), decisions }
     }
 
-    /// Feeds an event to the reducer.
-    pub fn event(&self, event: Event) {
+    /// Sends an event to the reducer.
+    pub fn send_event(&self, event: Event) {
         self.send(Message::Event(event));
     }
 
-    /// Runs a question on the configuration in force.
+    /// Runs a query against the configuration in force, on the control thread.
     pub fn inspect(&self, question: Question) {
         self.send(Message::Inspect(question));
     }
 
-    /// The configuration offset in force here.
+    /// Returns a receiver of the offset of the last configuration record that was applied.
     pub fn applied(&self) -> watch::Receiver<Offset> {
         self.applied.clone()
     }
 
-    /// Recent changes of the configuration.
+    /// Returns the recent changes of the configuration.
     pub fn history(&self) -> Arc<History> {
         Arc::clone(&self.history)
     }
 
-    /// Tells what to wake when a higher offset is heard of.
-    pub fn set_waker(&self, wake: Waker) {
-        // The feed is started once; a second waker would wake the same.
-        let _ = self.wake.set(wake);
+    /// Sets the waker of the configuration's follower, which is used when another process reports
+    /// a higher offset than the one applied. Only the first call has an effect.
+    pub fn set_waker(&self, waker: Waker) {
+        // The process has one follower, so a second waker would wake the same one.
+        let _ = self.waker.set(waker);
     }
 
-    /// What the process says of itself.
+    /// Returns the current status of the process.
     pub fn status(&self) -> Status {
         *self.status.borrow()
     }
 
-    /// Lets the health check fail; requests that still come are taken.
+    /// Makes the health check fail; requests that still arrive are accepted.
     pub fn leave(&self) {
-        self.event(Event::Leave);
+        self.send_event(Event::Leave);
     }
 
-    /// Asks the reducer to take no new request.
+    /// Makes the reducer refuse new requests.
     pub fn start_drain(&self) {
-        self.event(Event::Drain);
+        self.send_event(Event::Drain);
     }
 
-    /// Closes the chain of evidence: nothing is recorded after this.
-    pub async fn close(&self) {
-        let (closed, wait) = oneshot::channel();
+    /// Closes the evidence chain: nothing is recorded after this.
+    pub async fn close_evidence(&self) {
+        let (closed, closed_receiver) = oneshot::channel();
         self.send(Message::Close(closed));
-        // An error means that the control thread ended, which records nothing more either.
-        let _ = wait.await;
+        // An error means that the control thread ended, which records nothing afterwards either.
+        let _ = closed_receiver.await;
     }
 
-    /// Waits until no request is left.
-    pub async fn drained(&self) {
+    /// Waits until the process has drained, that is until no request is in progress after
+    /// `start_drain`.
+    pub async fn wait_until_drained(&self) {
         let mut status = self.status.clone();
-        // An error means that the control thread ended, and with it all requests.
+        // An error means that the control thread ended, which ends all requests.
         let _ = status.wait_for(|status| status.drained).await;
     }
 
     fn send(&self, message: Message) {
-        // The thread ends only with the process; a message after that has no reader to reach.
+        // Sending fails only after the control thread ended. It ends with the process, so that
+        // the message isn't needed then.
         let _ = self.messages.send(message);
     }
 }
 
-impl Ticket {
-    /// Waits for the next verdict; `None` where the control thread ended.
-    pub async fn verdict(&mut self) -> Option<Verdict> {
-        self.verdicts.recv().await
+impl RequestHandle {
+    /// Waits for the next decision; `None` if the control thread ended.
+    pub async fn next_decision(&mut self) -> Option<Decision> {
+        self.decisions.recv().await
     }
 
-    /// Tells that the caller got the whole answer.
-    pub fn whole(&self, digest: AnswerDigest) {
-        self.end(Outcome::Whole { digest });
+    /// Reports that the answer is complete, with the digest of its content.
+    pub fn complete(&self, digest: AnswerDigest) {
+        self.record_outcome(Outcome::Whole { digest });
     }
 
-    /// Tells that the caller was refused after a start, or got a torn answer.
-    pub fn torn(&self, refusal: &Refusal) {
+    /// Reports that the request failed after a start: the caller gets a refusal or an incomplete
+    /// answer.
+    pub fn fail(&self, refusal: &Refusal) {
         if matches!(refusal.reason, Reason::TargetLost | Reason::TornAnswer) {
-            self.control.event(Event::Lost { request: self.request });
+            self.control.send_event(Event::Lost { request: self.request });
         }
         let (reason, ran) = (refusal.reason, refusal.ran);
-        self.end(Outcome::Refused { reason, ran, left_waiting: None });
+        self.record_outcome(Outcome::Refused { reason, ran, left_waiting: None });
     }
 
-    fn end(&self, outcome: Outcome) {
+    fn record_outcome(&self, outcome: Outcome) {
         self.control.send(Message::Outcome { request: self.request, outcome });
     }
 
-    /// Tells that a start provably had no effect; another verdict follows.
-    pub fn not_started(&self, id: Id, unreachable: bool) {
-        self.control.event(Event::NotStarted { id, unreachable });
+    /// Reports that a start provably had no effect; another decision follows. `unreachable` says
+    /// whether the agent or its target accepted no connection.
+    pub fn mark_not_started(&self, id: Id, unreachable: bool) {
+        self.control.send_event(Event::NotStarted { id, unreachable });
     }
 
-    /// Tells that the request surely ran.
-    pub fn ran(&self) {
-        self.control.event(Event::Ran { request: self.request });
+    /// Reports that the request certainly ran.
+    pub fn mark_ran(&self) {
+        self.control.send_event(Event::Ran { request: self.request });
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.control.event(Event::Ended { request: self.request });
+        self.control.send_event(Event::Ended { request: self.request });
     }
 }
 
 impl Thread {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
         loop {
-            let wake = entry::next_wake(&self.state).unwrap_or_else(|| Instant::now() + IDLE);
+            let wake_at =
+                entry::next_wake(&self.state).unwrap_or_else(|| Instant::now() + MAX_SLEEP);
             let message = tokio::select! {
                 message = inbox.recv() => message,
-                () = sleep_until(wake.into()) => Some(Message::Event(Event::Tick)),
+                () = sleep_until(wake_at.into()) => Some(Message::Event(Event::Tick)),
             };
             match message {
                 None => return,
-                Some(message) => self.take(message),
+                Some(message) => self.handle_message(message),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let event = match message {
             Message::Event(event) => event,
             Message::Outcome { request, outcome } => {
                 return self.recorder.ended(request, outcome);
             }
-            Message::Close(closed) => return self.close(closed),
+            Message::Close(closed) => return self.close_evidence(closed),
             Message::Inspect(question) => return question(self.state.config()),
-            Message::Arrive { request, verdicts } => {
-                self.verdicts.insert(request.id, verdicts);
+            Message::Arrive { request, decisions } => {
+                self.decisions.insert(request.id, decisions);
                 Event::Arrived(*request)
             }
         };
-        self.note(&event);
+        self.forget_ended(&event);
         let (now, at) = (Instant::now(), SystemTime::now());
         let step = recorder::reduce(&mut self.recorder, &mut self.state, now, at, event);
         if let Some(evidence) = &self.evidence {
@@ -291,21 +304,21 @@
         self.publish();
     }
 
-    fn close(&mut self, closed: oneshot::Sender<()>) {
+    fn close_evidence(&mut self, closed: oneshot::Sender<()>) {
         if let Some(evidence) = self.evidence.take() {
             evidence.push(SystemTime::now(), self.recorder.close(&self.state));
         }
         let _ = closed.send(());
     }
 
-    /// Forgets what belongs to something that ended.
-    fn note(&mut self, event: &Event) {
+    /// Removes the decision sender of a request that ended and the reserve call that was answered.
+    fn forget_ended(&mut self, event: &Event) {
         match event {
             Event::Ended { request } => {
-                self.verdicts.remove(request);
+                self.decisions.remove(request);
             }
             Event::Granted { id, .. } | Event::Denied { id, .. } | Event::Unreachable { id } => {
-                self.reserving.remove(id);
+                self.reservation_calls.remove(id);
             }
             _ => {}
         }
@@ -317,23 +330,23 @@
                 let id = ask.id;
                 let agents = Arc::clone(&self.agents);
                 let messages = self.messages.clone();
-                let task = self.traffic.spawn(async move {
+                let task = self.traffic_runtime.spawn(async move {
                     let event = agents.reserve(address, ask).await;
                     let _ = messages.send(Message::Event(event));
                 });
-                self.reserving.insert(id, task.abort_handle());
+                self.reservation_calls.insert(id, task.abort_handle());
             }
             Effect::Cancel { id, address } => {
-                if let Some(task) = self.reserving.remove(&id) {
+                if let Some(task) = self.reservation_calls.remove(&id) {
                     task.abort();
                 }
                 let agents = Arc::clone(&self.agents);
-                self.traffic.spawn(async move { agents.cancel(address, id).await });
+                self.traffic_runtime.spawn(async move { agents.cancel(address, id).await });
             }
             Effect::Claim { request, address, ask } => {
                 let agents = Arc::clone(&self.agents);
                 let messages = self.messages.clone();
-                self.traffic.spawn(async move {
+                self.traffic_runtime.spawn(async move {
                     let event = agents.claim(address, request, ask).await;
                     let _ = messages.send(Message::Event(event));
                 });
@@ -341,7 +354,7 @@
             Effect::Settle { address, settle, tries } => {
                 let agents = Arc::clone(&self.agents);
                 let messages = self.messages.clone();
-                self.traffic.spawn(async move {
+                self.traffic_runtime.spawn(async move {
                     if let Some(event) = agents.settle_claim(address, settle, tries).await {
                         let _ = messages.send(Message::Event(event));
                     }
@@ -349,35 +362,40 @@
             }
             Effect::Lost(leave) => {
                 let messages = self.messages.clone();
-                self.traffic.spawn(async move {
-                    members::wait_in_turn().await;
+                self.traffic_runtime.spawn(async move {
+                    members::wait_random_delay().await;
                     let _ = messages.send(Message::Event(Event::Remove(leave)));
                 });
             }
             Effect::Remove(leave) => {
-                self.traffic.spawn(members::remove(self.log.clone(), leave));
+                self.traffic_runtime.spawn(members::remove(self.log.clone(), leave));
             }
-            Effect::Start(start) => self.tell(start.id.request, Verdict::Start(start)),
+            Effect::Start(start) => self.send_decision(start.id.request, Decision::Start(start)),
             Effect::Refuse { request, owner, refusal } => {
-                self.tell(request, Verdict::Refuse { owner, refusal });
+                self.send_decision(request, Decision::Refuse { owner, refusal });
             }
             Effect::CatchUp(offset) => {
-                debug!(offset, applied = self.state.config().applied(), "behind");
-                if let Some(wake) = self.wake.get() {
-                    wake.catch_up(offset);
+                debug!(
+                    offset,
+                    applied = self.state.config().applied(),
+                    "the configuration is behind; catching up"
+                );
+                if let Some(waker) = self.waker.get() {
+                    waker.catch_up(offset);
                 }
             }
             Effect::Applied(step) => self.history.push(step),
             Effect::Restored(applied) => self.history.reset(applied),
             Effect::NotApplied(error) => error!(%error, "the configuration was not applied"),
-            Effect::Drained => self.drained = true,
+            Effect::Drained => self.is_drained = true,
         }
     }
 
-    fn tell(&self, request: RequestId, verdict: Verdict) {
-        if let Some(verdicts) = self.verdicts.get(&request) {
-            // The caller may have gone; its ticket's drop tells the reducer.
-            let _ = verdicts.send(verdict);
+    fn send_decision(&self, request: RequestId, decision: Decision) {
+        if let Some(decisions) = self.decisions.get(&request) {
+            // Sending fails if the caller disconnected. Dropping the request's handle ends the
+            // request at the reducer.
+            let _ = decisions.send(decision);
         }
     }
 
@@ -386,7 +404,7 @@
             ready: self.state.is_ready(),
             offset: self.state.config().applied(),
             open: self.state.len(),
-            drained: self.drained,
+            drained: self.is_drained,
         };
         self.metrics.open.set(i64::try_from(status.open).unwrap_or(i64::MAX));
         self.metrics.offset.set(i64::try_from(status.offset).unwrap_or(i64::MAX));
--- a/components/entry/src/fault.rs
+++ b/components/entry/src/fault.rs
@@ -1,4 +1,4 @@
-//! Refusals as HTTP answers.
+//! Converts refusals to HTTP responses.
 
 use dropshot::{Body, ErrorStatusCode, HttpError, HttpResponseError};
 use http::{Response, StatusCode, header};
@@ -10,18 +10,20 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 
-/// Header that carries the request's id.
+/// Response header that carries the request's ID.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// What `dropshot` says of a body over the limit; it has no code of its own for that.
-const TOO_LARGE: &str = "exceeded maximum size";
+/// Part of the message of `dropshot` for a body over the size limit, for which it has no error
+/// code.
+const TOO_LARGE_TEXT: &str = "exceeded maximum size";
 
-/// The body of a refusal, in the usual shape of an error.
+/// The response body of a refusal: an object with an `error`.
 #[derive(Debug, JsonSchema, Serialize)]
 pub struct Fault {
-    /// What the caller is told.
+    /// The refusal, as the caller gets it.
     pub error: Refusal,
-    /// Status of faults that the HTTP library finds itself.
+    /// HTTP status of a fault that the HTTP library detected; `None` for refusals, whose reason
+    /// sets the status.
     #[serde(skip)]
     status: Option<ErrorStatusCode>,
 }
@@ -34,17 +36,17 @@
 
 impl From<HttpError> for Fault {
     fn from(error: HttpError) -> Fault {
-        let status = match error.external_message.contains(TOO_LARGE) {
+        let status = match error.external_message.contains(TOO_LARGE_TEXT) {
             true => ErrorStatusCode::PAYLOAD_TOO_LARGE,
             false => error.status_code,
         };
-        let finding = Finding::new(place(&error), error.external_message);
+        let finding = Finding::new(input_place(&error), error.external_message);
         Fault { error: Refusal::bad_input(vec![finding]), status: Some(status) }
     }
 }
 
 impl Fault {
-    /// The same, without the promise that nothing ran.
+    /// Returns the same fault, saying that the request may have run.
     pub fn may_have_run(self) -> Fault {
         Fault { error: Refusal { ran: Ran::MayHaveRun, ..self.error }, ..self }
     }
@@ -52,12 +54,14 @@
 
 impl HttpResponseError for Fault {
     fn status_code(&self) -> ErrorStatusCode {
-        let own = || ErrorStatusCode::from_status(status(&self.error));
-        self.status.or_else(|| own().ok()).unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
+        let from_refusal = || ErrorStatusCode::from_status(status(&self.error));
+        self.status
+            .or_else(|| from_refusal().ok())
+            .unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
     }
 }
 
-/// Builds the HTTP answer that carries a refusal.
+/// Returns the HTTP response for a refusal.
 pub fn answer(request: RequestId, refusal: Refusal) -> Response<Body> {
     let mut answer = Response::builder()
         .status(status(&refusal))
@@ -70,14 +74,14 @@
     answer.body(body.into()).expect("a refusal's headers are valid")
 }
 
-/// Writes a refusal as JSON.
+/// Returns the JSON body of a refusal.
 pub fn render(refusal: Refusal) -> String {
     let fault = Fault { error: refusal, status: None };
     serde_json::to_string(&fault).expect("a refusal is JSON")
 }
 
-/// The refusal that stands for a control thread that ended.
-pub fn stopped() -> Refusal {
+/// Returns the refusal of a request whose control thread has ended, so that no decision follows.
+pub fn stopping() -> Refusal {
     Refusal::new(Reason::Draining, Ran::MayHaveRun, "this process is stopping")
 }
 
@@ -98,7 +102,7 @@
     }
 }
 
-fn place(error: &HttpError) -> &'static str {
+fn input_place(error: &HttpError) -> &'static str {
     match error.status_code.as_status() {
         StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => "path",
         _ => "body",
--- a/components/entry/src/feed.rs
+++ b/components/entry/src/feed.rs
@@ -1,5 +1,5 @@
-//! Feeds the configuration, the list of hosts and reports of other processes to the control
-//! thread.
+//! Feeds the configuration and the list of hosts to the control thread, and starts the tasks that
+//! report this process's configuration offset and write snapshots.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,11 +22,11 @@
 
 use crate::{control, presence};
 
-/// The running feeds.
+/// A handle to the running feeds; dropping it doesn't stop them.
 pub struct Handle {
-    config: follower::Handle,
-    others: Vec<JoinHandle<()>>,
-    listed: watch::Receiver<u32>,
+    follower: follower::Handle,
+    tasks: Vec<JoinHandle<()>>,
+    live_hosts: watch::Receiver<u32>,
 }
 
 /// Starts all feeds.
@@ -35,47 +35,47 @@
     let source = Source {
         log: log.clone(),
         poll: settings.timing.poll,
-        relays: presence::relays(control, settings.host.clone()),
+        relays: presence::relay_choice(control, settings.host.clone()),
         peers: settings.platform.peers.clone(),
     };
-    let config = follower::spawn(source, sink(control));
-    control.set_waker(config.waker());
+    let follower = follower::spawn(source, sink(control));
+    control.set_waker(follower.waker());
     let list = hosts::open(&settings.platform.hosts);
-    let (listed_writer, listed) = watch::channel(0);
-    let reading = read_hosts(list, settings.timing.hosts, control.clone(), listed_writer);
+    let (live_hosts_sender, live_hosts) = watch::channel(0);
+    let host_reader = read_hosts(list, settings.timing.hosts, control.clone(), live_hosts_sender);
     let reporter = report::Reporter {
         host: settings.host.clone(),
         process: settings.name.clone(),
         applied: control.applied(),
     };
-    let keepers = presence::keepers(control, settings.host.clone());
-    let others = vec![
-        tokio::spawn(reading),
+    let keepers = presence::keeper_choice(control, settings.host.clone());
+    let tasks = vec![
+        tokio::spawn(host_reader),
         report::spawn(reporter, keepers, sink(control)),
-        writer::spawn(log, schedule(settings), snapshots(control)),
+        writer::spawn(log, snapshot_schedule(settings), snapshot_source(control)),
     ];
-    Handle { config, others, listed }
+    Handle { follower, tasks, live_hosts }
 }
 
 impl Handle {
-    /// Live hosts that the platform's list shows.
-    pub fn hosts(&self) -> watch::Receiver<u32> {
-        self.listed.clone()
+    /// Returns a receiver of the number of live hosts in the platform's list.
+    pub fn live_hosts(&self) -> watch::Receiver<u32> {
+        self.live_hosts.clone()
     }
 
-    /// Ends all feeds.
+    /// Stops all feeds.
     pub fn stop(&self) {
-        self.config.stop();
-        self.others.iter().for_each(JoinHandle::abort);
+        self.follower.stop();
+        self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
 fn sink(control: &control::Handle) -> Sink {
     let control = control.clone();
-    Arc::new(move |update| control.event(event(update)))
+    Arc::new(move |update| control.send_event(event_from(update)))
 }
 
-fn event(update: Update) -> Event {
+fn event_from(update: Update) -> Event {
     let record = |record: log::Record| Record { offset: record.offset, payload: record.payload };
     match update {
         Update::Restored(snapshot) => Event::Restored(snapshot),
@@ -86,13 +86,13 @@
     }
 }
 
-fn schedule(settings: &settings::Entry) -> Schedule {
+fn snapshot_schedule(settings: &settings::Entry) -> Schedule {
     let hash = blake3::hash(settings.name.as_bytes());
     let share = f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX);
     Schedule { period: settings.timing.snapshot, share }
 }
 
-fn snapshots(control: &control::Handle) -> writer::Take {
+fn snapshot_source(control: &control::Handle) -> writer::Take {
     let control = control.clone();
     Arc::new(move || {
         let (sender, answer) = oneshot::channel();
@@ -107,7 +107,7 @@
     client: hosts::Client,
     period: Duration,
     control: control::Handle,
-    listed: watch::Sender<u32>,
+    live_hosts: watch::Sender<u32>,
 ) {
     let mut list = List::default();
     let mut failed = false;
@@ -115,13 +115,13 @@
         match client.refresh(&mut list).await {
             Ok(changed) => {
                 if changed {
-                    listed.send_replace(count_live(&list));
-                    control.event(Event::Hosts(list.hosts().cloned().collect()));
+                    live_hosts.send_replace(count_live(&list));
+                    control.send_event(Event::Hosts(list.hosts().cloned().collect()));
                 }
                 failed = false;
             }
             Err(error) if !failed => {
-                warn!(%error, "the list of hosts can't be read now");
+                warn!(%error, "the list of hosts can't be read; retrying");
                 failed = true;
             }
             Err(_) => {}
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry process: takes callers' requests and relays the answers.
+//! The entry process: admits callers' requests, sends each to an agent and relays the answer.
 
 mod agents;
 mod append;
@@ -25,7 +25,7 @@
 use agents::Agents;
 pub use control::Status;
 
-/// Why an entry process can't run.
+/// An error that keeps an entry process from starting or from shutting down cleanly.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// the control thread can't be started: {0}
@@ -38,21 +38,23 @@
 
 /// A running entry process.
 pub struct Handle {
-    /// Where callers connect.
+    /// Address that the callers' server listens on.
     pub callers: SocketAddr,
-    /// Where operators, the balancer's health check and metrics readers connect.
+    /// Address of the server for operators, the load balancer's health checks and metrics
+    /// scrapers.
     pub operators: SocketAddr,
     settings: settings::Entry,
     control: control::Handle,
-    evidence: append::Handle,
+    appender: append::Handle,
     feeds: feed::Handle,
-    members: JoinHandle<()>,
-    crashes: JoinHandle<()>,
+    membership_reader: JoinHandle<()>,
+    crash_reader: JoinHandle<()>,
     caller_server: HttpServer<Arc<caller::Context>>,
     operator_server: HttpServer<Arc<api::Context>>,
 }
 
-/// Starts an entry process on the current `tokio` runtime, which becomes its traffic threads.
+/// Starts an entry process. The current `tokio` runtime carries its traffic; the control thread
+/// has a runtime of its own.
 pub async fn spawn(settings: settings::Entry) -> Result<Handle, Error> {
     let metrics = Arc::new(metrics::entry::open(settings.bounds.tracked_accounts));
     let agents = Arc::new(Agents::open(settings.timing.connect));
@@ -60,12 +62,14 @@
     let outbox = append::open(&settings);
     let (metrics_control, agents_control) = (Arc::clone(&metrics), Arc::clone(&agents));
     let control = control::spawn(&settings, metrics_control, agents_control, outbox.buffer())?;
-    let evidence = append::spawn(&settings, outbox, agents);
+    let appender = append::spawn(&settings, outbox, agents);
     let feeds = feed::spawn(&settings, &control);
-    let crashes = crashes::spawn(&settings.platform.log, settings.timing.poll, control.clone());
-    let members = members::spawn(&settings.platform.log, settings.timing.poll, control.clone());
+    let crash_reader =
+        crashes::spawn(&settings.platform.log, settings.timing.poll, control.clone());
+    let membership_reader =
+        members::spawn(&settings.platform.log, settings.timing.poll, control.clone());
     let caller_server = serve_callers(&settings, &control, &metrics, relay)?;
-    let context = operator::context(&settings, &control, &metrics, &feeds);
+    let context = operator::api_context(&settings, &control, &metrics, &feeds);
     let operator_server = api::spawn(settings.listen.operators, context)?;
     let callers = caller_server.local_addr();
     let operators = operator_server.local_addr();
@@ -75,37 +79,41 @@
         operators,
         settings,
         control,
-        evidence,
+        appender,
         feeds,
-        members,
-        crashes,
+        membership_reader,
+        crash_reader,
         caller_server,
         operator_server,
     })
 }
 
 impl Handle {
-    /// What the process says of itself now.
+    /// Returns the current status of the process.
     pub fn status(&self) -> Status {
         self.control.status()
     }
 
-    /// Tells the balancer to send no more, then takes no new request, finishes all that are in
-    /// progress, and ends.
+    /// Shuts the process down gracefully: fails the health check so that the load balancer sends
+    /// no more requests, refuses new requests after `timing.lame`, waits for the requests in
+    /// progress, appends the remaining evidence and stops the servers.
     pub async fn drain(self) -> Result<(), Error> {
-        info!(open = self.control.status().open, "leaving: the health check fails from now on");
+        info!(
+            open = self.control.status().open,
+            "shutting down: the health check fails from now on"
+        );
         self.control.leave();
         tokio::time::sleep(self.settings.timing.lame).await;
         info!(open = self.control.status().open, "draining: new requests are refused");
         self.control.start_drain();
-        self.control.drained().await;
+        self.control.wait_until_drained().await;
         self.caller_server.close().await.map_err(Error::Server)?;
-        self.control.close().await;
-        self.evidence.flush().await;
+        self.control.close_evidence().await;
+        self.appender.flush().await;
         self.operator_server.close().await.map_err(Error::Server)?;
         self.feeds.stop();
-        self.members.abort();
-        self.crashes.abort();
+        self.membership_reader.abort();
+        self.crash_reader.abort();
         info!("drained");
         Ok(())
     }
--- a/components/entry/src/operator.rs
+++ b/components/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the operators' server asks of this process.
+//! Connects the operators' server to this process.
 
 use std::sync::Arc;
 
@@ -6,8 +6,9 @@
 
 use crate::{control, feed, presence};
 
-/// Ties the operators' server to the control thread.
-pub fn context(
+/// Returns the operators' server's context, which reads status, metrics and configuration from the
+/// control thread.
+pub fn api_context(
     settings: &settings::Entry,
     control: &control::Handle,
     metrics: &Arc<metrics::Entry>,
@@ -22,7 +23,7 @@
         ready: Box::new(move || ready.status().ready),
         metrics: Box::new(move || metrics.render()),
         inspect: Box::new(move |question| inspect.inspect(question)),
-        presence: presence::gatherer(control, feeds.hosts()),
+        presence: presence::cached_gatherer(control, feeds.live_hosts()),
         applied: control.applied(),
         history: control.history(),
         log: log::open(&settings.platform.log),
--- a/components/entry/src/presence.rs
+++ b/components/entry/src/presence.rs
@@ -1,4 +1,5 @@
-//! What live processes have applied, asked of the agents that keep their reports.
+//! Finds out how far live processes have applied the configuration, by asking the keepers: the
+//! agents that keep the processes' reports.
 
 use std::{
     net::SocketAddr,
@@ -15,75 +16,81 @@
 
 use crate::control;
 
-/// Time for which an answer is shared, for each keeper that was asked for it: with 157 keepers,
-/// operators who wait make 167 calls a second together, however many they are.
-const SHARE_PER_KEEPER: Duration = Duration::from_millis(6);
+/// Time for which the result is cached, per keeper that was asked for it. With 157 keepers, waiting
+/// operators cause 167 calls per second in total, independent of their number.
+const CACHE_TIME_PER_KEEPER: Duration = Duration::from_millis(6);
 
-/// What the keepers said last.
+/// The last result of asking the keepers.
 #[derive(Default)]
-struct Shared {
+struct CachedPresence {
     presence: Presence,
-    /// Until when it is shared; nothing was asked yet where it is absent.
-    until: Option<Instant>,
+    /// When the cached result expires; `None` before the keepers were first asked.
+    valid_until: Option<Instant>,
 }
 
-/// Gives a function that asks all keepers, or shares what they said to another a moment ago. An
-/// old answer tells too low offsets, never too high ones.
-pub fn gatherer(
+/// Returns a function that asks all keepers, or returns the cached result if it hasn't expired. A
+/// cached result may have offsets that are too low, never too high.
+pub fn cached_gatherer(
     control: &control::Handle,
-    listed: watch::Receiver<u32>,
+    live_hosts: watch::Receiver<u32>,
 ) -> Box<dyn Fn() -> BoxFuture<'static, Presence> + Send + Sync> {
     let control = control.clone();
-    let shared = Arc::new(Mutex::new(Shared::default()));
+    let cached = Arc::new(Mutex::new(CachedPresence::default()));
     Box::new(move || {
-        let (control, shared) = (control.clone(), Arc::clone(&shared));
-        let listed = *listed.borrow();
+        let (control, cached) = (control.clone(), Arc::clone(&cached));
+        let live_hosts = *live_hosts.borrow();
         Box::pin(async move {
-            let mut shared = shared.lock().await;
-            if shared.until.is_none_or(|until| until <= Instant::now()) {
-                *shared = ask(control, listed).await;
+            let mut cached = cached.lock().await;
+            if cached.valid_until.is_none_or(|valid_until| valid_until <= Instant::now()) {
+                *cached = ask_keepers(control, live_hosts).await;
             }
-            shared.presence.clone()
+            cached.presence.clone()
         })
     })
 }
 
-async fn ask(control: control::Handle, listed: u32) -> Shared {
-    let keepers = addresses(control, presence::keepers).await;
+async fn ask_keepers(control: control::Handle, live_hosts: u32) -> CachedPresence {
+    let keepers = control_addresses(control, presence::keepers).await;
     let count = u32::try_from(keepers.len()).unwrap_or(u32::MAX);
-    let gathered = follower::gather(keepers).await;
-    let presence = Presence { reported: gathered.summary, silent: gathered.silent, listed };
-    Shared { presence, until: Some(Instant::now() + SHARE_PER_KEEPER.saturating_mul(count)) }
+    let answers = follower::gather(keepers).await;
+    let presence =
+        Presence { reported: answers.summary, silent: answers.silent, listed: live_hosts };
+    CachedPresence {
+        presence,
+        valid_until: Some(Instant::now() + CACHE_TIME_PER_KEEPER.saturating_mul(count)),
+    }
 }
 
-/// Gives the keepers of a host in the order to try them.
-pub fn keepers(control: &control::Handle, host: HostName) -> Keepers {
+/// Returns a function that chooses the keepers of a host, in the order to try them.
+pub fn keeper_choice(control: &control::Handle, host: HostName) -> Keepers {
     let control = control.clone();
     Arc::new(move || {
         let host = host.clone();
-        Box::pin(addresses(control.clone(), move |config| presence::keepers_for(config, &host)))
+        Box::pin(control_addresses(control.clone(), move |config| {
+            presence::keepers_for(config, &host)
+        }))
     })
 }
 
-/// Gives the agents that relay records to a host.
-pub fn relays(control: &control::Handle, host: HostName) -> Choice {
+/// Returns a function that chooses the agents that relay configuration records to a host.
+pub fn relay_choice(control: &control::Handle, host: HostName) -> Choice {
     let control = control.clone();
     Arc::new(move || {
         let host = host.clone();
-        Box::pin(addresses(control.clone(), move |config| {
+        Box::pin(control_addresses(control.clone(), move |config| {
             presence::relays_for(config, &host, None)
         }))
     })
 }
 
-async fn addresses(
+async fn control_addresses(
     control: control::Handle,
     choose: impl FnOnce(&config::State) -> Vec<&Target> + Send + 'static,
 ) -> Vec<SocketAddr> {
     let (sender, answer) = oneshot::channel();
     control.inspect(Box::new(move |config| {
         let chosen = choose(config).into_iter().map(|target| target.control);
-        // Whoever asked may have gone, and needs no answer then.
+        // Sending fails if the receiver was dropped, and then no answer is needed.
         let _ = sender.send(chosen.collect());
     }));
     answer.await.unwrap_or_default()
--- a/components/entry/src/read.rs
+++ b/components/entry/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's HTTP request into the reducer's form.
+//! Parses a caller's HTTP request into the reducer's `Request`.
 
 use std::time::Duration;
 
@@ -14,25 +14,26 @@
 use serde::Deserialize;
 use serde_with::{OneOrMany, serde_as};
 
-/// Header that names the tier.
-pub const TIER: &str = "x-wagtailhill-tier";
-/// Header that gives the time for the whole answer, in milliseconds.
-pub const DEADLINE: &str = "x-wagtailhill-deadline-ms";
+/// Header that names the tier of the request.
+pub const TIER_HEADER: &str = "x-wagtailhill-tier";
+/// Header with the time that the caller allows for the whole answer, in milliseconds.
+pub const DEADLINE_HEADER: &str = "x-wagtailhill-deadline-ms";
 /// Header that says whether the request may run more than once: `true` or `false`.
-pub const IDEMPOTENT: &str = "x-wagtailhill-idempotent";
+pub const IDEMPOTENT_HEADER: &str = "x-wagtailhill-idempotent";
 /// Header that carries the caller's idempotency key.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Bytes of prompt that count as one token in estimates.
 const BYTES_PER_TOKEN: usize = 4;
-/// Bytes of prompt in one block of the prefix.
-const BLOCK_BYTES: usize = 1_024;
-/// Most blocks of a prompt that are hashed.
-const BLOCK_LIMIT: usize = 16;
-/// Tokens to generate where the caller doesn't say.
-const DEFAULT_DECODE: u32 = 256;
-
-/// The parts of a completion that the system reads; the rest goes to the engine untouched.
+/// Size of one block of a prompt, in bytes; targets' caches are matched by the hashes of blocks.
+const PREFIX_BLOCK_BYTES: usize = 1_024;
+/// Largest number of a prompt's blocks that are hashed; the rest of the prompt is ignored.
+const MAX_PREFIX_BLOCKS: usize = 16;
+/// Estimated number of generated tokens if the caller sets no `max_tokens`.
+const DEFAULT_DECODE_TOKENS: u32 = 256;
+
+/// The fields of a completion's body that the entry process reads. The body is sent to the engine
+/// unchanged, with all other fields.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 struct Completion {
@@ -46,21 +47,22 @@
     max_tokens: Option<u32>,
 }
 
+/// One message of a conversation.
 #[derive(Debug, Deserialize)]
 struct Message {
     role: String,
     content: String,
 }
 
-/// Reads a completion.
+/// Parses a completion. Faults of the request are collected in its `findings`.
 pub fn completion(id: RequestId, headers: &HeaderMap, body: &Bytes) -> Request {
-    let mut request = common(id, headers);
-    match parse(body) {
+    let mut request = request_from_headers(id, headers);
+    match parse_completion(body) {
         Ok(completion) => {
-            let prompt = prompt(&completion, &mut request.findings);
-            request.prefill = tokens(prompt.len());
-            request.decode = completion.max_tokens.unwrap_or(DEFAULT_DECODE);
-            request.prefix = prefix(&completion.model, prompt.as_bytes());
+            let prompt = prompt_text(&completion, &mut request.findings);
+            request.prefill = estimate_tokens(prompt.len());
+            request.decode = completion.max_tokens.unwrap_or(DEFAULT_DECODE_TOKENS);
+            request.prefix = prefix_hashes(&completion.model, prompt.as_bytes());
             request.call = Some(Call::Completion(completion.model));
         }
         Err(finding) => request.findings.push(finding),
@@ -68,25 +70,25 @@
     request
 }
 
-/// Reads a call to a plain service.
+/// Parses a call to a plain service. Faults of the request are collected in its `findings`.
 pub fn service(id: RequestId, headers: &HeaderMap, pool: PoolName, body: &Bytes) -> Request {
-    let mut request = common(id, headers);
-    request.prefill = tokens(body.len());
+    let mut request = request_from_headers(id, headers);
+    request.prefill = estimate_tokens(body.len());
     request.call = Some(Call::Service(pool));
     request
 }
 
-fn common(id: RequestId, headers: &HeaderMap) -> Request {
+fn request_from_headers(id: RequestId, headers: &HeaderMap) -> Request {
     let mut findings = Vec::new();
-    let credential = text(headers, header::AUTHORIZATION.as_str(), &mut findings);
+    let credential = header_text(headers, header::AUTHORIZATION.as_str(), &mut findings);
     Request {
         id,
         credential: credential::bearer(credential.as_deref()).ok(),
-        tier: text(headers, TIER, &mut findings),
+        tier: header_text(headers, TIER_HEADER, &mut findings),
         call: None,
         deadline: deadline(headers, &mut findings),
         idempotent: idempotent(headers, &mut findings),
-        key: text(headers, KEY, &mut findings),
+        key: header_text(headers, IDEMPOTENCY_KEY_HEADER, &mut findings),
         prefill: 0,
         decode: 0,
         prefix: Vec::new(),
@@ -95,7 +97,7 @@
     }
 }
 
-fn parse(body: &Bytes) -> Result<Completion, Finding> {
+fn parse_completion(body: &Bytes) -> Result<Completion, Finding> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let parsed = serde_path_to_error::deserialize(&mut json);
     let completion = parsed
@@ -104,7 +106,7 @@
     Ok(completion)
 }
 
-fn prompt(completion: &Completion, findings: &mut Vec<Finding>) -> String {
+fn prompt_text(completion: &Completion, findings: &mut Vec<Finding>) -> String {
     match (&completion.prompt, &completion.messages) {
         (Some(prompt), None) => prompt.concat(),
         (None, Some(messages)) => {
@@ -122,25 +124,25 @@
     }
 }
 
-fn prefix(model: &str, prompt: &[u8]) -> Vec<BlockHash> {
+fn prefix_hashes(model: &str, prompt: &[u8]) -> Vec<BlockHash> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
-    let blocks = prompt.chunks(BLOCK_BYTES).take(BLOCK_LIMIT);
-    blocks.map(|block| chained(&mut hasher, block)).collect()
+    let blocks = prompt.chunks(PREFIX_BLOCK_BYTES).take(MAX_PREFIX_BLOCKS);
+    blocks.map(|block| chained_hash(&mut hasher, block)).collect()
 }
 
-fn chained(hasher: &mut blake3::Hasher, block: &[u8]) -> BlockHash {
+fn chained_hash(hasher: &mut blake3::Hasher, block: &[u8]) -> BlockHash {
     hasher.update(block);
-    let mut word = [0; size_of::<BlockHash>()];
-    hasher.finalize_xof().fill(&mut word);
-    BlockHash::from_le_bytes(word)
+    let mut hash = [0; size_of::<BlockHash>()];
+    hasher.finalize_xof().fill(&mut hash);
+    BlockHash::from_le_bytes(hash)
 }
 
-fn tokens(bytes: usize) -> u32 {
+fn estimate_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-fn text(headers: &HeaderMap, name: &str, findings: &mut Vec<Finding>) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str, findings: &mut Vec<Finding>) -> Option<String> {
     match headers.get(name)?.to_str() {
         Ok(value) => Some(value.to_owned()),
         Err(_) => {
@@ -151,24 +153,24 @@
 }
 
 fn deadline(headers: &HeaderMap, findings: &mut Vec<Finding>) -> Option<Duration> {
-    let value = text(headers, DEADLINE, findings)?;
+    let value = header_text(headers, DEADLINE_HEADER, findings)?;
     match value.parse() {
         Ok(millis) => Some(Duration::from_millis(millis)),
         Err(_) => {
             let message = format!("`{value}` isn't a whole number of milliseconds");
-            findings.push(Finding::new(format!("header.{DEADLINE}"), message));
+            findings.push(Finding::new(format!("header.{DEADLINE_HEADER}"), message));
             None
         }
     }
 }
 
 fn idempotent(headers: &HeaderMap, findings: &mut Vec<Finding>) -> Option<bool> {
-    let value = text(headers, IDEMPOTENT, findings)?;
+    let value = header_text(headers, IDEMPOTENT_HEADER, findings)?;
     match value.parse() {
         Ok(idempotent) => Some(idempotent),
         Err(_) => {
             let message = format!("`{value}` is neither `true` nor `false`");
-            findings.push(Finding::new(format!("header.{IDEMPOTENT}"), message));
+            findings.push(Finding::new(format!("header.{IDEMPOTENT_HEADER}"), message));
             None
         }
     }
--- a/components/entry/src/stream.rs
+++ b/components/entry/src/stream.rs
@@ -1,4 +1,4 @@
-//! Answers callers: whole, or streamed as they come.
+//! Sends answers to callers: buffered until they are complete, or streamed piece by piece.
 
 use std::{convert::Infallible, sync::Arc, time::Instant};
 
@@ -14,43 +14,53 @@
 use wire::{answer::Piece, events};
 
 use crate::{
-    control::Ticket,
+    control::RequestHandle,
     fault::{self, REQUEST_ID},
     relay::Opened,
 };
 
-/// For whom an answer counts.
-pub struct Account {
-    /// The request.
+/// Records the progress of one answer in metrics and the process log.
+pub struct AnswerRecorder {
+    /// ID of the answered request.
     pub id: RequestId,
-    /// Its client account and tier.
+    /// Client account and tier of the request.
     pub owner: Owner,
-    /// When it arrived.
+    /// When the request arrived; latencies are measured from here.
     pub arrived: Instant,
-    /// Where it is counted.
+    /// Metrics of the entry process.
     pub metrics: Arc<metrics::Entry>,
 }
 
-impl Account {
-    /// Counts the first piece of the answer.
-    fn first_byte(&self) {
+impl AnswerRecorder {
+    /// Records the latency of the answer's first piece.
+    fn record_first_byte(&self) {
         self.metrics.first_byte(&self.owner.tier, self.arrived.elapsed());
     }
 
-    fn whole(&self) {
+    fn record_complete(&self) {
         let took = self.arrived.elapsed();
         self.metrics.whole(&self.owner.tier, &self.owner.account, took);
-        info!(request = %self.id, millis = took.as_millis(), "whole");
+        info!(request = %self.id, millis = took.as_millis(), "answer complete");
     }
 
-    fn torn(&self, refusal: &Refusal) {
+    fn record_torn(&self, refusal: &Refusal) {
         self.metrics.torn(&self.owner.tier);
-        warn!(request = %self.id, reason = ?refusal.reason, message = refusal.message, "torn");
+        warn!(
+            request = %self.id,
+            reason = ?refusal.reason,
+            message = refusal.message,
+            "answer incomplete"
+        );
     }
 }
 
-/// Collects the whole answer before the caller gets any of it.
-pub async fn whole(ticket: Ticket, account: Account, mut opened: Opened) -> Response<Body> {
+/// Buffers the whole answer before sending any of it, so that a failed one is answered by a
+/// refusal alone.
+pub async fn respond_whole(
+    handle: RequestHandle,
+    recorder: AnswerRecorder,
+    mut opened: Opened,
+) -> Response<Body> {
     let mut body = BytesMut::new();
     loop {
         match opened.next().await {
@@ -58,37 +68,42 @@
             Ok(Piece::Chunk(bytes)) => body.extend_from_slice(&bytes),
             Ok(Piece::Whole) => break,
             Err(refusal) => {
-                account.torn(&refusal);
-                ticket.torn(&refusal);
-                return fault::answer(account.id, refusal);
+                recorder.record_torn(&refusal);
+                handle.fail(&refusal);
+                return fault::answer(recorder.id, refusal);
             }
         }
     }
-    account.first_byte();
-    account.whole();
-    ticket.whole(opened.digest());
-    drop(ticket);
-    respond(&account, &opened, Body::with_content(body.freeze()))
+    recorder.record_first_byte();
+    recorder.record_complete();
+    handle.complete(opened.digest());
+    drop(handle);
+    whole_response(&recorder, &opened, Body::with_content(body.freeze()))
 }
 
-/// Passes the answer on as it comes; a torn one ends in an `error` event and never in `[DONE]`.
+/// Streams the answer to the caller piece by piece. An incomplete answer ends in an `error` event
+/// and never in `[DONE]`.
 ///
-/// The head waits for the first piece, so that both leave in one segment: a second small one
+/// The response's head is sent with the first piece, in one TCP segment: a second small segment
 /// would wait 40 ms for the first one's acknowledgement (docs/design/0005-nodelay.md).
-pub async fn streamed(ticket: Ticket, account: Account, mut opened: Opened) -> Response<Body> {
+pub async fn respond_streamed(
+    handle: RequestHandle,
+    recorder: AnswerRecorder,
+    mut opened: Opened,
+) -> Response<Body> {
     let first = match opened.next().await {
         Ok(first) => first,
         Err(refusal) => {
-            account.torn(&refusal);
-            ticket.torn(&refusal);
-            return fault::answer(account.id, refusal);
+            recorder.record_torn(&refusal);
+            handle.fail(&refusal);
+            return fault::answer(recorder.id, refusal);
         }
     };
-    account.first_byte();
-    let id = account.id;
+    recorder.record_first_byte();
+    let id = recorder.id;
     let status = opened.status;
     let content_type = opened.content_type.clone();
-    let events = relay_events(ticket, account, opened, first);
+    let events = relay_events(handle, recorder, opened, first);
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, content_type)
@@ -99,36 +114,36 @@
 }
 
 fn relay_events(
-    ticket: Ticket,
-    account: Account,
+    handle: RequestHandle,
+    recorder: AnswerRecorder,
     mut opened: Opened,
     first: Piece,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Infallible>> {
     async_stream::stream! {
-        // The event that says `whole` is held back until the answer is known to be whole.
-        let mut held = Bytes::new();
+        // The `[DONE]` event is held back until the answer is known to be complete.
+        let mut done_event = Bytes::new();
         let mut next = Ok(first);
         loop {
             match next {
                 Ok(Piece::Head { .. }) => {}
                 Ok(Piece::Chunk(bytes)) => {
-                    if !held.is_empty() {
-                        yield Ok(Frame::data(std::mem::take(&mut held)));
+                    if !done_event.is_empty() {
+                        yield Ok(Frame::data(std::mem::take(&mut done_event)));
                     }
                     match events::is_done(&bytes) {
-                        true => held = bytes,
+                        true => done_event = bytes,
                         false => yield Ok(Frame::data(bytes)),
                     }
                 }
                 Ok(Piece::Whole) => {
-                    account.whole();
-                    ticket.whole(opened.digest());
-                    yield Ok(Frame::data(held));
+                    recorder.record_complete();
+                    handle.complete(opened.digest());
+                    yield Ok(Frame::data(done_event));
                     return;
                 }
                 Err(refusal) => {
-                    account.torn(&refusal);
-                    ticket.torn(&refusal);
+                    recorder.record_torn(&refusal);
+                    handle.fail(&refusal);
                     let event = format!("event: error\ndata: {}\n\n", fault::render(refusal));
                     yield Ok(Frame::data(event.into()));
                     return;
@@ -139,11 +154,11 @@
     }
 }
 
-fn respond(account: &Account, opened: &Opened, body: Body) -> Response<Body> {
+fn whole_response(recorder: &AnswerRecorder, opened: &Opened, body: Body) -> Response<Body> {
     Response::builder()
         .status(opened.status)
         .header(header::CONTENT_TYPE, &opened.content_type)
-        .header(REQUEST_ID, account.id.to_string())
+        .header(REQUEST_ID, recorder.id.to_string())
         .body(body)
         .expect("the target's content type was valid")
 }
