--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -99,9 +99,9 @@
     Ok(run(context.context(), request, outgoing).await)
 }
 
-/// Reads a whole request body. A body that can't be read is refused without checking whether the
-/// request's idempotency key, if it has one, already ran. The refusal then says that the request
-/// may have run.
+/// Reads a whole request body. A body that can't be read is refused without checking whether a
+/// request with the same idempotency key already ran. If there is a key, the refusal therefore says
+/// that the request may have run.
 async fn read_body(headers: &HeaderMap, body: StreamingBody) -> Result<Bytes, Fault> {
     let chunks: Result<Vec<Bytes>, HttpError> = body.into_stream().try_collect().await;
     match chunks {
--- a/components/entry/src/control.rs
+++ b/components/entry/src/control.rs
@@ -59,7 +59,7 @@
     pub drained: bool,
 }
 
-/// A message to the control thread.
+/// A message to the control thread. `Close` closes the evidence chain and then signals the sender.
 enum Message {
     Arrive { request: Box<Request>, decisions: mpsc::UnboundedSender<Decision> },
     Event(Event),
--- a/components/entry/src/read.rs
+++ b/components/entry/src/read.rs
@@ -18,7 +18,7 @@
 pub const TIER_HEADER: &str = "x-wagtailhill-tier";
 /// Header with the time that the caller allows for the whole answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-wagtailhill-deadline-ms";
-/// Header that says whether the request may run more than once: `true` or `false`.
+/// Header that allows or forbids running the request more than once: `true` or `false`.
 pub const IDEMPOTENT_HEADER: &str = "x-wagtailhill-idempotent";
 /// Header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
--- a/components/follower/src/lib.rs
+++ b/components/follower/src/lib.rs
@@ -1,5 +1,7 @@
-//! Follows the configuration: the highest snapshot, then the log, and other processes in an
-//! outage; tells other processes how far this one has come.
+//! Follows the configuration: restores the newest snapshot, then reads records from the log or from
+//! an agent that relays them, and asks agents for a snapshot while the log is unavailable. Also
+//! reports this process's applied offset to the agents that keep such reports, and appends
+//! snapshots to the log.
 
 mod archive;
 mod peer;
@@ -20,87 +22,87 @@
 
 pub use peer::{Gathered, gather};
 
-/// What was learnt of the configuration.
+/// An update from the follower, passed to the sink.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A snapshot that is ahead of everything given before.
+    /// A snapshot of the configuration that is ahead of all earlier updates.
     Restored(Box<Snapshot>),
-    /// The next records, in order and without a gap.
+    /// The next configuration records, in order and without a gap.
     Records(Vec<log::Record>),
-    /// The log or another process told the highest offset that it knows.
+    /// The log or another process reported the highest offset that it knows.
     Confirmed {
-        /// When it was asked.
+        /// When the log or the process was asked.
         asked: Instant,
-        /// The offset.
+        /// The highest offset that was reported.
         highest: Offset,
     },
-    /// Everything that can be known now was given.
+    /// All updates that are available now were passed to the sink.
     CaughtUp,
-    /// Nothing was learnt; the process runs.
+    /// A read or a report failed, so nothing is new; shows that the follower is still running.
     Nothing,
 }
 
-/// Takes updates, in order.
+/// Callback that receives the updates, in order.
 pub type Sink = Arc<dyn Fn(Update) + Send + Sync>;
 
-/// Where the configuration comes from.
+/// The sources of the configuration.
 #[derive(Clone)]
 pub struct Source {
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: log::Client,
-    /// Longest wait of one read for a new record.
+    /// Longest time that one read waits for a new record.
     pub poll: Duration,
-    /// Chooses agents that relay records, so that this process needn't read the log.
+    /// Chooses the agents that relay records, so that this process doesn't read the log itself.
     pub relays: relay::Choice,
-    /// Control addresses of agents that are asked for a snapshot while the log is out.
+    /// Control addresses of the agents that are asked for a snapshot while the log is unavailable.
     pub peers: Vec<SocketAddr>,
 }
 
-/// A running follower; dropping it doesn't end it.
+/// A handle to a running follower; dropping the handle doesn't stop the follower.
 #[derive(Debug)]
 pub struct Handle {
     task: JoinHandle<()>,
-    wake: Waker,
+    waker: Waker,
 }
 
-/// Makes a follower read on at once; clones wake the same one.
+/// Makes a follower read at once; clones wake the same follower.
 #[derive(Clone, Debug)]
 pub struct Waker {
-    wanted: Arc<Notify>,
-    heard: watch::Sender<Offset>,
+    wakeup: Arc<Notify>,
+    highest_reported: watch::Sender<Offset>,
 }
 
-/// Starts to follow.
+/// Starts a follower that passes its updates to `sink`.
 pub fn spawn(source: Source, sink: Sink) -> Handle {
-    let wake = Waker { wanted: Arc::new(Notify::new()), heard: watch::Sender::new(0) };
-    let task = tokio::spawn(read::run(source, wake.clone(), sink));
-    Handle { task, wake }
+    let waker = Waker { wakeup: Arc::new(Notify::new()), highest_reported: watch::Sender::new(0) };
+    let task = tokio::spawn(read::run(source, waker.clone(), sink));
+    Handle { task, waker }
 }
 
 impl Handle {
-    /// What wakes this follower.
+    /// Returns a waker of this follower.
     pub fn waker(&self) -> Waker {
-        self.wake.clone()
+        self.waker.clone()
     }
 
-    /// Ends it.
+    /// Stops the follower.
     pub fn stop(&self) {
         self.task.abort();
     }
 }
 
 impl Waker {
-    /// Makes the follower read on at once, up to an offset that was heard of.
-    pub fn catch_up(&self, heard: Offset) {
-        self.heard.send_modify(|highest| *highest = heard.max(*highest));
-        self.wanted.notify_one();
+    /// Makes the follower read at once, up to an offset that another process reported.
+    pub fn catch_up(&self, reported: Offset) {
+        self.highest_reported.send_modify(|highest| *highest = reported.max(*highest));
+        self.wakeup.notify_one();
     }
 
-    fn heard(&self) -> Offset {
-        *self.heard.borrow()
+    fn highest_reported(&self) -> Offset {
+        *self.highest_reported.borrow()
     }
 
-    async fn wanted(&self) {
-        self.wanted.notified().await;
+    async fn woken(&self) {
+        self.wakeup.notified().await;
     }
 }
--- a/components/follower/src/relay.rs
+++ b/components/follower/src/relay.rs
@@ -1,4 +1,5 @@
-//! Reads records from an agent that relays them, so that few processes read the log itself.
+//! Reads configuration records from an agent that relays them, so that only a few processes read
+//! the log itself.
 
 use std::{
     net::SocketAddr,
@@ -14,55 +15,55 @@
 
 use crate::peer;
 
-/// Time for which a relay is used before the configuration is asked anew.
-const KEEP: Duration = Duration::from_secs(10);
-/// Time for which a relay isn't asked after it failed.
-const REST: Duration = Duration::from_secs(2);
-/// Oldest word of the log that a relay may pass on.
-const AGE_LIMIT: Duration = Duration::from_secs(5);
-/// Time for a relay's answer beyond the wait for a record.
-const GRACE: Duration = Duration::from_millis(500);
+/// Time for which a relay is used before one is chosen again by the current configuration.
+const RELAY_REUSE_TIME: Duration = Duration::from_secs(10);
+/// Delay before a relay is chosen again, after the last one failed or none could be reached.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Largest age of an answer of the log that a relay may pass on; older ones are rejected as stale.
+const MAX_ANSWER_AGE: Duration = Duration::from_secs(5);
+/// Time beyond the wait for a record that a relay has to answer.
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 
-/// Gives the control addresses of relays, in the order to try them; none where this process
-/// reads the log itself.
+/// Returns the control addresses of relays, in the order to try them; empty if this process reads
+/// the log itself.
 pub type Choice = Arc<dyn Fn() -> BoxFuture<'static, Vec<SocketAddr>> + Send + Sync>;
 
-/// What was read, and when the log was asked for it.
+/// A page of records, and when the log was asked for it.
 #[derive(Debug)]
 pub struct Fetched {
-    /// When the log was asked, by whoever asked it.
+    /// When this process or the relay asked the log.
     pub asked: Instant,
-    /// The records.
+    /// The page as the log or the relay returned it.
     pub page: Page,
 }
 
-/// The relay in use.
+/// Reader of records from the relay that is currently chosen.
 pub struct Relay {
     choice: Choice,
     client: Option<AgentClient>,
-    /// When the choice is made anew.
-    until: Instant,
+    /// When a relay is chosen again.
+    choose_again_at: Instant,
 }
 
-/// Gives a reader that has chosen no relay yet.
+/// Returns a reader that has no relay yet.
 pub fn open(choice: Choice) -> Relay {
-    Relay { choice, client: None, until: Instant::now() }
+    Relay { choice, client: None, choose_again_at: Instant::now() }
 }
 
 impl Relay {
-    /// Reads from an offset on, waiting for the first record; `None` where the log has to be
-    /// read instead.
+    /// Reads the records from an offset on, waiting up to `wait` for the first one. Returns `None`
+    /// if the log has to be read instead.
     pub async fn read(&mut self, from: Offset, wait: Duration) -> Option<Fetched> {
-        if self.until <= Instant::now() {
+        if self.choose_again_at <= Instant::now() {
             self.choose().await;
         }
         let asked = Instant::now();
-        let answered = self.client.as_ref()?.records(within(wait), from, wait).await;
-        match answered.ok().flatten().filter(|relayed| relayed.age <= AGE_LIMIT) {
+        let answer = self.client.as_ref()?.records(call_context(wait), from, wait).await;
+        match answer.ok().flatten().filter(|relayed| relayed.age <= MAX_ANSWER_AGE) {
             Some(relayed) if relayed.next >= from => fetched(asked, relayed),
             _ => {
                 self.client = None;
-                self.until = Instant::now() + REST;
+                self.choose_again_at = Instant::now() + RETRY_DELAY;
                 None
             }
         }
@@ -76,8 +77,8 @@
                 break;
             }
         }
-        let life = if self.client.is_some() { KEEP } else { REST };
-        self.until = Instant::now() + life;
+        let reuse_time = if self.client.is_some() { RELAY_REUSE_TIME } else { RETRY_DELAY };
+        self.choose_again_at = Instant::now() + reuse_time;
     }
 }
 
@@ -88,8 +89,8 @@
     Some(Fetched { asked: asked.checked_sub(relayed.age)?, page })
 }
 
-fn within(wait: Duration) -> context::Context {
+fn call_context(wait: Duration) -> context::Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + wait + GRACE;
+    context.deadline = Instant::now() + wait + ANSWER_GRACE;
     context
 }
--- a/components/follower/src/writer.rs
+++ b/components/follower/src/writer.rs
@@ -1,4 +1,4 @@
-//! Appends snapshots to the log, well before its records expire.
+//! Appends configuration snapshots to the log, well before its records expire.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,56 +11,59 @@
 
 use crate::archive;
 
-/// Gives the configuration in force; `None` where nothing is applied yet.
+/// Returns a snapshot of the configuration in force; `None` if nothing is applied yet.
 pub type Take = Arc<dyn Fn() -> BoxFuture<'static, Option<Snapshot>> + Send + Sync>;
 
-/// When a process writes snapshots.
+/// Times at which a process checks whether a snapshot is due.
 #[derive(Clone, Copy, Debug)]
 pub struct Schedule {
-    /// Mean period of looking whether a snapshot is due.
+    /// Mean time between two checks.
     pub period: Duration,
-    /// Place of this process within the period, 0 to 1, so that processes look at unlike times.
+    /// Factor of this process, from 0 to 1, that spreads the checks of processes over time: this
+    /// process checks every 0.5 + `share` periods.
     pub share: f64,
 }
 
-/// Starts to look, once a period, whether another process wrote a snapshot since the last look;
-/// writes one if none did. Of many processes a few write, and none has to be chosen.
+/// Starts the task that checks periodically whether another process appended a snapshot since the
+/// last check, and appends one if none did. So only a few of many processes write snapshots, and no
+/// writer has to be elected.
 pub fn spawn(log: log::Client, schedule: Schedule, take: Take) -> JoinHandle<()> {
     tokio::spawn(run(log, schedule, take))
 }
 
 async fn run(log: log::Client, schedule: Schedule, take: Take) {
-    let mut seen: Option<Offset> = None;
+    let mut last_next: Option<Offset> = None;
     loop {
         sleep(schedule.period.mul_f64(0.5 + schedule.share)).await;
-        let next = match archive::ends(&log).await {
-            Ok(ends) => ends.next,
+        let next = match archive::stream_bounds(&log).await {
+            Ok(bounds) => bounds.next,
             Err(error) => {
-                warn!(%error, "no snapshot can be written now");
+                warn!(%error, "can't check whether a snapshot is due; retrying later");
                 continue;
             }
         };
-        let another_wrote = seen != Some(next) && next > 1;
-        seen = Some(next);
-        if another_wrote {
+        let other_process_wrote = last_next != Some(next) && next > 1;
+        last_next = Some(next);
+        if other_process_wrote {
             continue;
         }
         if let Some(snapshot) = take().await {
-            seen = write(&log, snapshot).await.or(seen);
+            last_next = write(&log, snapshot).await.or(last_next);
         }
     }
 }
 
-/// Appends all parts; gives the offset after the last.
-async fn write(log: &log::Client, taken: Snapshot) -> Option<Offset> {
-    let as_of = taken.applied;
+/// Appends all parts of a snapshot. Returns the offset after the last part that was appended, or
+/// `None` if none was.
+async fn write(log: &log::Client, snapshot: Snapshot) -> Option<Offset> {
+    let as_of = snapshot.applied;
     let mut next = None;
-    for part in snapshot::split(as_of, &taken.render()) {
+    for part in snapshot::split(as_of, &snapshot.render()) {
         let payload = serde_json::to_string(&part).expect("a part is JSON");
         match log.append(SNAPSHOTS, &payload).await {
             Ok(offset) => next = Some(offset + 1),
             Err(error) => {
-                warn!(%error, as_of, "a snapshot is cut short; another will be written");
+                warn!(%error, as_of, "appending a snapshot failed; another will be written");
                 return next;
             }
         }
--- a/components/follower/tests/gap.rs
+++ b/components/follower/tests/gap.rs
@@ -1,4 +1,4 @@
-//! A log whose answers have gaps.
+//! Tests the follower against a log whose answers have gaps.
 
 use std::{
     sync::{
@@ -18,13 +18,14 @@
     Record { offset, payload: "no change".to_owned() }
 }
 
-/// A log that leaves the second of three records out of its first answer.
-async fn gapped() -> server::Server {
+/// Starts a log server whose first answer lacks the second of three records; its later answers are
+/// complete.
+async fn log_with_gap() -> server::Server {
     let reads = Arc::new(AtomicU32::new(0));
     let handler: server::Handler = Arc::new(move |request| {
         let is_config = request.uri().path().starts_with("/streams/config/");
-        let first = is_config && reads.fetch_add(1, Ordering::SeqCst) == 0;
-        let offsets: &[u64] = match (is_config, first) {
+        let is_first = is_config && reads.fetch_add(1, Ordering::SeqCst) == 0;
+        let offsets: &[u64] = match (is_config, is_first) {
             (false, _) => &[],
             (true, true) => &[1, 3],
             (true, false) => &[1, 2, 3],
@@ -37,14 +38,15 @@
     server::bind(ANY, handler).await.unwrap()
 }
 
+/// Guards against a follower that applies a page with a gap and skips the missing record for good.
 #[tokio::test]
-async fn an_answer_with_a_gap_is_read_again() {
-    let log = gapped().await;
+async fn a_page_with_a_gap_is_discarded_and_read_again() {
+    let log = log_with_gap().await;
     let (sender, mut updates) = mpsc::unbounded_channel();
     let sink: Sink = Arc::new(move |update| {
         if let Update::Records(records) = update {
             let offsets: Vec<u64> = records.iter().map(|record| record.offset).collect();
-            // The test reads the first answer only.
+            // Sending fails once the test has its first update, the only one that it reads.
             let _ = sender.send(offsets);
         }
     });
@@ -56,8 +58,8 @@
     };
 
     let follower = follower::spawn(source, sink);
-    let first = updates.recv().await.unwrap();
+    let first_records = updates.recv().await.unwrap();
     follower.stop();
 
-    assert_eq!(first, [1, 2, 3]);
+    assert_eq!(first_records, [1, 2, 3]);
 }
--- a/components/source/src/hosts.rs
+++ b/components/source/src/hosts.rs
@@ -1,57 +1,57 @@
-//! Client of the platform's lagging list of hosts.
+//! Client of the platform's list of hosts, which lags behind the hosts' real state.
 
 use std::collections::BTreeMap;
 
 use model::{Host, id::HostName};
 use serde::{Deserialize, Serialize};
 
-use crate::{CONNECT_TIMEOUT, SILENCE};
+use crate::{CONNECT_TIMEOUT, IDLE_TIMEOUT};
 
-/// Names one state of the list; the platform chooses it.
+/// Version of the list, an opaque text that the platform chooses.
 pub type Version = String;
 
-/// What one read gives: the whole list, or what changed since a version.
+/// The answer to one read: the whole list, or the changes since a version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// The state that the list has now.
+    /// Version of the list after this page.
     pub version: Version,
-    /// The version that the changes start from; `None` where `hosts` is the whole list.
+    /// The version that the changes start from; `None` if `hosts` is the whole list.
     pub since: Option<Version>,
-    /// Rows that are new or differ.
+    /// Hosts that are new or changed, or all hosts if the page is the whole list.
     pub hosts: Vec<Host>,
-    /// Hosts that are listed no more.
+    /// Names of hosts that were removed from the list.
     pub gone: Vec<HostName>,
 }
 
-/// The list as read so far.
+/// The list of hosts as of the last read.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct List {
-    /// `None` until the whole list was read.
+    /// Version of the list; `None` if the next read has to ask for the whole list.
     version: Option<Version>,
     hosts: BTreeMap<HostName, Host>,
 }
 
-/// Reads the list of hosts.
+/// HTTP client that reads the list of hosts.
 #[derive(Clone, Debug)]
 pub struct Client {
-    base: String,
+    base_url: String,
     http: reqwest::Client,
 }
 
-/// Gives a client of the list at a base URL; nothing is sent yet.
-pub fn open(base: &str) -> Client {
+/// Returns a client of the list of hosts at a base URL. Sends nothing yet.
+pub fn open(base_url: &str) -> Client {
     let http = reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
-        .read_timeout(SILENCE)
+        .read_timeout(IDLE_TIMEOUT)
         .no_proxy()
         .build();
-    Client { base: base.to_owned(), http: http.expect("a client without TLS can be built") }
+    Client { base_url: base_url.to_owned(), http: http.expect("a client without TLS can be built") }
 }
 
 impl Client {
-    /// Brings a list up to date; tells whether it changed.
+    /// Reads what changed and applies it to `list`. Returns whether the list changed.
     pub async fn refresh(&self, list: &mut List) -> Result<bool, reqwest::Error> {
-        let mut request = self.http.get(format!("{}/hosts", self.base));
+        let mut request = self.http.get(format!("{}/hosts", self.base_url));
         if let Some(version) = &list.version {
             request = request.query(&[("since", version)]);
         }
@@ -61,23 +61,23 @@
 }
 
 impl List {
-    /// All rows, in the order of their names.
+    /// Returns all hosts, ordered by name.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.values()
     }
 
-    /// Takes a page in; tells whether the list changed. Changes since a version that we don't
-    /// have are left out, and the next read asks for the whole list.
+    /// Applies a page and returns whether the list changed. A page with changes since another
+    /// version than the list's is ignored, and the next read asks for the whole list.
     pub fn apply(&mut self, page: Page) -> bool {
         if page.since.is_some() && page.since != self.version {
             self.version = None;
             return false;
         }
-        let before = page.since.is_none().then(|| std::mem::take(&mut self.hosts));
-        let changed = !page.hosts.is_empty() || !page.gone.is_empty();
+        let old_hosts = page.since.is_none().then(|| std::mem::take(&mut self.hosts));
+        let has_rows = !page.hosts.is_empty() || !page.gone.is_empty();
         self.version = Some(page.version);
         self.hosts.extend(page.hosts.into_iter().map(|host| (host.name.clone(), host)));
         self.hosts.retain(|name, _| !page.gone.contains(name));
-        before.map_or(changed, |before| before != self.hosts)
+        old_hosts.map_or(has_rows, |old_hosts| old_hosts != self.hosts)
     }
 }
--- a/components/source/src/lib.rs
+++ b/components/source/src/lib.rs
@@ -1,4 +1,5 @@
-//! Clients of the platform's services, by their published protocol (docs/platform.md).
+//! Clients of the platform's services: the list of hosts and the log. docs/platform.md describes
+//! their protocol.
 
 pub mod hosts;
 pub mod log;
@@ -6,11 +7,12 @@
 
 use std::time::Duration;
 
+/// Timeout for connecting to a service.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest silence before the answer to a read, beyond the wait that was asked for, and within it. What
-/// a read brings must still be in time after one that hangs: a configuration that must be in force, or a
-/// host that must get no more work.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Timeout of a read while no byte of its answer arrives. Before the first byte, the timeout is added
+/// to the wait that the read asked for. It is short so that the read after one that hangs is still in
+/// time for a configuration that must be in force, or a leaving host that must get no more work.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Name of the stream that carries operators' configuration.
 pub const CONFIG: &str = "config";
--- a/components/source/src/log.rs
+++ b/components/source/src/log.rs
@@ -9,45 +9,46 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-use crate::{CONNECT_TIMEOUT, SILENCE};
+use crate::{CONNECT_TIMEOUT, IDLE_TIMEOUT};
 
+/// Timeout of an append, from connecting to the end of the answer.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One record of a stream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Its position; the first record of a stream has 1.
+    /// Position of the record in its stream, starting at 1.
     pub offset: Offset,
-    /// What was appended, as text.
+    /// Text that was appended.
     pub payload: String,
 }
 
-/// What one read gives.
+/// The answer to one read.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// Oldest offset that the log still keeps, or `next` where it keeps none.
+    /// Oldest offset that the log still keeps, or `next` if it keeps no records.
     pub first: Offset,
     /// Offset that the next append will get.
     pub next: Offset,
-    /// Records from the asked offset on, without a gap.
+    /// Records from the requested offset on, without a gap.
     pub records: Vec<Record>,
 }
 
-/// What an append sends.
+/// The request body of an append.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Append {
-    /// The record's text.
+    /// Text of the record.
     pub payload: String,
 }
 
-/// What an append gives.
+/// The answer to an append.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Appended {
-    /// The record's position.
+    /// Offset of the appended record.
     pub offset: Offset,
 }
 
-/// What the log answers where the asked records are gone.
+/// The answer to a read whose records have expired.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Gone {
     /// Oldest offset that the log still keeps.
@@ -69,30 +70,30 @@
     Unexpected(u16),
 }
 
-/// Reads and appends records.
+/// HTTP client that reads and appends records.
 #[derive(Clone, Debug)]
 pub struct Client {
-    base: String,
+    base_url: String,
     http: reqwest::Client,
 }
 
-/// Gives a client of the log at a base URL; nothing is sent yet.
-pub fn open(base: &str) -> Client {
+/// Returns a client of the log at a base URL. Sends nothing yet.
+pub fn open(base_url: &str) -> Client {
     let http = reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
         .no_proxy()
         .retry(reqwest::retry::never())
         .build();
-    Client { base: base.to_owned(), http: http.expect("a client without TLS can be built") }
+    Client { base_url: base_url.to_owned(), http: http.expect("a client without TLS can be built") }
 }
 
 impl Client {
-    /// Appends one record and gives its offset.
+    /// Appends one record to a stream and returns the record's offset.
     pub async fn append(&self, stream: &str, payload: &str) -> Result<Offset, Error> {
-        let url = format!("{}/streams/{stream}/records", self.base);
+        let url = format!("{}/streams/{stream}/records", self.base_url);
         let body = Append { payload: payload.to_owned() };
         let sent = self.http.post(url).timeout(APPEND_TIMEOUT).json(&body).send().await;
-        let answer = sent.map_err(classify)?;
+        let answer = sent.map_err(error_for)?;
         match answer.status() {
             StatusCode::OK | StatusCode::CREATED => {
                 let appended: Appended = answer.json().await.map_err(|_| Error::Unknown)?;
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Reads up to `limit` records from an offset on, waiting up to `wait` for the first.
+    /// Reads up to `limit` records of a stream from an offset on. If there are none, the log waits
+    /// up to `wait` for the first one and then answers with an empty page.
     pub async fn read(
         &self,
         stream: &str,
@@ -113,15 +115,15 @@
     ) -> Result<Page, Error> {
         let url = format!(
             "{}/streams/{stream}/records?from={from}&limit={limit}&wait_ms={}",
-            self.base,
+            self.base_url,
             wait.as_millis()
         );
-        let sent = timeout(wait + SILENCE, self.http.get(url).send()).await;
-        let answer = sent.map_err(|_| Error::Unknown)?.map_err(classify)?;
+        let sent = timeout(wait + IDLE_TIMEOUT, self.http.get(url).send()).await;
+        let answer = sent.map_err(|_| Error::Unknown)?.map_err(error_for)?;
         match answer.status() {
-            StatusCode::OK => collect(answer).await,
+            StatusCode::OK => read_body(answer).await,
             StatusCode::GONE => {
-                let gone: Gone = collect(answer).await?;
+                let gone: Gone = read_body(answer).await?;
                 Err(Error::Expired(gone.first))
             }
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Err(Error::Busy),
@@ -130,11 +132,12 @@
     }
 }
 
-/// Reads an answer for as long as it keeps coming.
-async fn collect<T: DeserializeOwned>(mut answer: Response) -> Result<T, Error> {
+/// Reads and parses the body of an answer. Fails if no byte arrives for `IDLE_TIMEOUT`, but has no
+/// limit on the total time.
+async fn read_body<T: DeserializeOwned>(mut answer: Response) -> Result<T, Error> {
     let mut body = Vec::new();
     loop {
-        let next = timeout(SILENCE, answer.chunk()).await.map_err(|_| Error::Unknown)?;
+        let next = timeout(IDLE_TIMEOUT, answer.chunk()).await.map_err(|_| Error::Unknown)?;
         match next.map_err(|_| Error::Unknown)? {
             Some(chunk) => body.extend_from_slice(&chunk),
             None => return serde_json::from_slice(&body).map_err(|_| Error::Unknown),
@@ -142,6 +145,6 @@
     }
 }
 
-fn classify(error: reqwest::Error) -> Error {
+fn error_for(error: reqwest::Error) -> Error {
     if error.is_connect() { Error::Unreachable } else { Error::Unknown }
 }
--- a/components/source/src/tail.rs
+++ b/components/source/src/tail.rs
@@ -1,4 +1,4 @@
-//! Follows one stream of the log from its first record on.
+//! Follows one stream of the log, starting at the stream's first record.
 
 use std::time::{Duration, Instant};
 
@@ -8,27 +8,28 @@
 
 use crate::log::{Client, Error, Record};
 
-/// Most records of one read.
-const PAGE: usize = 1_000;
-/// Wait after the first failed read; it doubles with each further one.
-const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// Longest wait after a failed read, so that an outage isn't answered with a flood.
-const BACKOFF_MAX: Duration = Duration::from_secs(3);
+/// Largest number of records that one read asks for.
+const RECORDS_PER_READ: usize = 1_000;
+/// Delay after the first failed read; doubled after each further one. Jitter shortens each delay by
+/// up to half.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Upper bound of the backoff, which keeps readers from flooding the log during an outage.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// What a reader learns.
+/// An update from the reader of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum News {
     /// The next records, in order and without a gap.
     Records(Vec<Record>),
-    /// All records that stood at the log's last answer were given.
+    /// All records that the stream had at the log's last answer were passed on.
     CaughtUp {
-        /// When the call began that gave this answer.
+        /// When the read with that answer began.
         asked: Instant,
     },
 }
 
-/// Starts to follow a stream; each read waits up to `poll` for a new record. The task ends when
-/// it is aborted, or with its runtime.
+/// Starts the task that reads a stream and passes updates to `take`. Each read waits up to `poll`
+/// for a new record. The task runs until it is aborted or its runtime shuts down.
 pub fn spawn(
     log: Client,
     stream: &'static str,
@@ -38,15 +39,15 @@
     tokio::spawn(async move {
         let mut next: Offset = 1;
         let mut wait = Duration::ZERO;
-        let mut backoff = BACKOFF_MIN;
+        let mut backoff = INITIAL_BACKOFF;
         loop {
             let asked = Instant::now();
-            match log.read(stream, next, PAGE, wait).await {
+            match log.read(stream, next, RECORDS_PER_READ, wait).await {
                 Ok(page) => {
-                    if backoff > BACKOFF_MIN {
+                    if backoff > INITIAL_BACKOFF {
                         info!(stream, next, "the log can be read again");
                     }
-                    backoff = BACKOFF_MIN;
+                    backoff = INITIAL_BACKOFF;
                     if let Some(last) = page.records.last() {
                         next = last.offset + 1;
                         take(News::Records(page.records));
@@ -57,15 +58,15 @@
                     }
                 }
                 Err(Error::Expired(first)) => {
-                    error!(stream, next, first, "records are gone from the log; still waiting");
+                    error!(stream, next, first, "records have expired from the log; reading again");
                     sleep(poll).await;
                 }
                 Err(error) => {
-                    if backoff == BACKOFF_MIN {
-                        warn!(stream, %error, next, "the log can't be read now");
+                    if backoff == INITIAL_BACKOFF {
+                        warn!(stream, %error, next, "the log can't be read; retrying");
                     }
                     sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
-                    backoff = (backoff * 2).min(BACKOFF_MAX);
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
