--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -217,8 +217,8 @@
         receiver
     }
 
-    /// Processes the rows and the offer of another entry process; returns the rows that it asks for and the
-    /// offer of this process.
+    /// Processes the rows and the offer that another entry process sent; returns the rows that it requested
+    /// and the offer of this process. An offer states which versions of the relayed data a process has.
     pub async fn exchange(&self, request: ExchangeRequest) -> ExchangeAnswer {
         let (reply, answer) = oneshot::channel();
         let _ = self.messages.send(Message::Exchange { request, reply });
@@ -503,7 +503,8 @@
         });
     }
 
-    /// Returns a new row of this process, followed with `all` by the last rows of the others.
+    /// Returns a new row of this process; if `all` is set, the last rows of the other entry processes
+    /// follow.
     fn rows(&mut self, all: bool) -> Vec<Row> {
         let mut rows = vec![self.state.next_row(Instant::now())];
         if all {
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -44,7 +44,7 @@
 /// HTTP client with a pool of connections to all targets.
 pub type TargetClient = legacy::Client<HttpConnector, Full<Bytes>>;
 
-/// Builds a client without connections.
+/// Builds the HTTP client for requests to targets. It opens connections as requests need them.
 pub fn open() -> TargetClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
--- a/components/gateway/src/peer.rs
+++ b/components/gateway/src/peer.rs
@@ -40,7 +40,7 @@
 /// Request of an exchange between two entry processes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ExchangeRequest {
-    /// Row of the sender, followed with `all` by the last rows of all processes that it knows.
+    /// Row of the sender; if `all` is set, the last rows of all other processes that it knows follow.
     pub rows: Vec<Row>,
     /// Whether the sender requests all rows too.
     pub all: bool,
@@ -51,8 +51,7 @@
 /// Answer of an exchange between two entry processes.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ExchangeAnswer {
-    /// Row of the answering process, followed by the last rows of all processes that it knows where these
-    /// were requested.
+    /// Row of the answering process; if the request set `all`, the last rows of all other processes follow.
     pub rows: Vec<Row>,
     /// Versions of the data that the answering process has.
     pub offer: Offer,
--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -52,7 +52,8 @@
 /// empty. The units admitted before aren't known and may be all that the limit allows; this fraction may
 /// be admitted in addition even then.
 const START_TOLERANCE: f64 = 0.1;
-/// Fraction of the tolerance that all starts within a window get together as extra units.
+/// Fraction of the tolerance that the extra units of [`START_TOLERANCE`] may use in one window, over all
+/// starts of processes within it.
 const STARTS_TOLERANCE: f64 = 0.3;
 /// Fraction of a bucket's burst that a request leaves for each higher rank, so that requests of lower
 /// ranks are refused first.
--- a/components/scheduler/src/direct/capacity/limits.rs
+++ b/components/scheduler/src/direct/capacity/limits.rs
@@ -78,7 +78,8 @@
         Some(self.interval()? * factor)
     }
 
-    /// Replaces the information on the limit and adapts the spacing of requests without an agent's grant.
+    /// Replaces the target's rate limit by `news`, and adapts the interval between the requests that this
+    /// process sends to the target without an agent's grant.
     fn record_limit(&mut self, now: Instant, news: News) {
         self.limit = Some(news);
         match (self.interval_without_agent(), &mut self.pacer) {
--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -243,11 +243,11 @@
     TargetsListed(Listing),
     /// The platform answered a read of its list of targets, whether or not the list changed.
     TargetListAnswered,
-    /// Another entry process offered what it has.
+    /// Another entry process stated which versions of the relayed data it has.
     PeerOffered {
         /// Address at which the other process listens.
         peer: SocketAddr,
-        /// Versions of what the other process has.
+        /// Versions of the relayed data that the other process has.
         offer: Offer,
     },
     /// A fetch from another entry process ended.
@@ -270,7 +270,7 @@
         /// Whether the target accepted a connection.
         reached: bool,
     },
-    /// The process begins to drain: it accepts only requests whose deadlines are not after its end.
+    /// The process begins to drain: it accepts only requests whose deadlines are not after the time `end`.
     Drain {
         /// Time at which the process ends.
         end: Instant,
@@ -349,7 +349,8 @@
     pub waited: Duration,
     /// Maximum time for which the request could wait for a slot, counted from its arrival.
     pub max_wait: Duration,
-    /// Number of targets of the pool that accept requests, and of those where the answer ends in time.
+    /// Targets of the pool that accept the request, and those of them at which its answer is expected to end
+    /// before its deadline.
     pub fits: FittingTargets,
     /// Time that is left until the request's deadline.
     pub time_left: Duration,
@@ -365,11 +366,12 @@
     pub free_slots: u32,
     /// Number of slots in the pool at targets that accept requests.
     pub slots: u32,
-    /// Age of the oldest row that was considered; `None` where no other process's row is current.
+    /// Age of the oldest row of another process that was still current; `None` where none was.
     pub oldest_row: Option<Duration>,
 }
 
-/// Number of targets at which an answer of a given length ends before its deadline.
+/// Targets of a pool that accept a request, counted by whether its answer is expected to end before its
+/// deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FittingTargets {
     /// Number of targets of the pool that accept such requests.
@@ -435,7 +437,7 @@
     /// Number of requests that the target may have concurrently.
     pub slots: u32,
     /// Whether the agent runs on the target's host and can query the target; otherwise it is the agent of
-    /// another target, which all entry processes agreed on.
+    /// another target, chosen by a hash so that all entry processes choose the same one.
     pub is_local_agent: bool,
     /// Last known rate limit of the target; `None` where the target never stated one.
     pub limit: Option<Limit>,
@@ -443,10 +445,11 @@
     pub rank: Rank,
     /// Maximum time for which the reservation waits.
     pub timeout: Duration,
-    /// Time by which the request counts as newer than it is, for agents that serve the newest request of a
-    /// tier first.
+    /// Time that is added to the remaining time stated to the agent: an agent that grants the newest request
+    /// of a tier first then treats the request as newer than it is.
     pub recency_boost: Duration,
-    /// Token counts of the request; the answer's count is the caller's expectation where there is one.
+    /// Token counts of the request; `max_output` is the number that the caller expects, where it gave a
+    /// hint.
     pub tokens: Tokens,
 }
 
@@ -488,7 +491,8 @@
         /// Address at which the target listens.
         address: SocketAddr,
     },
-    /// Fetch what another entry process offered. The result comes back as [`Event::Fetched`].
+    /// Fetch the data of a topic that another entry process offered. The result comes back as
+    /// [`Event::Fetched`].
     Fetch {
         /// Address at which the other process listens.
         peer: SocketAddr,
@@ -512,20 +516,21 @@
         /// Version of the configuration.
         version: u64,
     },
-    /// The set of targets in use was replaced by that of a newer list.
+    /// The targets in use were replaced by those of a newer list.
     TargetsChanged {
         /// Number of targets that accept requests.
         ready: usize,
         /// Number of targets in use, including those counted by `kept`.
         listed: usize,
-        /// Number of targets that are missing in the list but still used, since an outage just ended.
+        /// Number of targets that the list lacks but that are still used, because an outage of the platform
+        /// just ended.
         kept: usize,
-        /// Number of ready targets that get no requests since no rollout to their version was ordered.
+        /// Number of ready targets that get no requests, because no rollout to their version was ordered.
         unordered: usize,
     },
     /// The configuration is known to be current (`true`), or may be out of date (`false`).
     FreshnessChanged(bool),
-    /// The number of entry processes whose parts of limits this one may use changed.
+    /// This process may use a larger or smaller share of the accounts' limits: `usable` changed.
     PeersChanged {
         /// Number of other processes that may take requests and whose rows are current.
         known: usize,
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -1,5 +1,6 @@
 //! The reducer of direct dispatch: entry processes send requests directly to targets. Where an agent admits
-//! requests to a target, a slot is reserved at the agent first (see [`capacity`]).
+//! requests to a target, a slot is reserved at the agent first (see [`capacity`]). The configuration and the
+//! list of targets come from the platform: the environment in which the entry processes and the targets run.
 //!
 //! A request waits in a queue until a target has a free slot, highest tier first, and is dispatched once.
 //! Requests that may be repeated are dispatched again if a dispatch fails, within the attempts that their
@@ -61,10 +62,10 @@
 
 /// Hasher with a fixed seed: all entry processes compute the same hashes.
 const HASHER: BuildHasherDefault<DefaultHasher> = BuildHasherDefault::new();
-/// Time after the end of an outage of the platform for which targets that are missing in its list are
-/// still used: live ones are listed again within two seconds of the outage's end.
+/// Time after the end of an outage of the platform for which targets that the platform's list lacks are still
+/// used: all running targets are listed again within two seconds of the outage's end.
 const RELISTING_TIME: Duration = Duration::from_millis(2_200);
-/// Longest time between two answers of the platform that doesn't count as an outage.
+/// Longest time without an answer of the platform that doesn't count as an outage.
 const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2_800);
 /// Number of target crashes after which requests with the same fingerprint are refused.
 const QUARANTINE_CRASHES: u32 = 2;
@@ -82,10 +83,11 @@
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Share of the target latency ([`Route::target_latency`](plan::Route::target_latency)) after which a request
 /// that still waits is refused. The remaining share is about the time to the first event. An answer after the
-/// target latency earns at most a third of the credit and takes as much capacity from requests that can be on
-/// time.
+/// target latency is worth at most a third of one on time, and takes as much capacity from requests that can
+/// still be on time.
 const MAX_WAIT_SHARE: f64 = 0.75;
-/// Share of a request's maximum wait after which its account's rank determines its place in the queue.
+/// Share of a request's maximum wait after which the request is promoted: from then on the rank of its
+/// account takes precedence over its tier in the queue.
 const PROMOTION_SHARE: f64 = 0.75;
 /// Lower bound of the maximum wait for a slot, for routes with a small target latency.
 const MAX_WAIT_FLOOR: Duration = Duration::from_millis(250);
@@ -116,14 +118,16 @@
     pub zone: ZoneName,
     /// Maximum time since the configuration was last known to be current for which API keys are accepted.
     pub max_configuration_age: Duration,
-    /// Time after the last row or registration of another process from which on that process can't accept
-    /// requests with a key any more.
+    /// Time without a row or a new registration of another process after which that process certainly accepts
+    /// no requests with an API key: it has stopped, or it is cut off and its configuration is older than
+    /// `max_configuration_age`.
     pub peer_timeout: Duration,
     /// Limits of the retry budget of each pool.
     pub retry_budget: budget::RetryBudgetRule,
     /// How far accounts may exceed their limits.
     pub tolerance: allowance::Tolerance,
-    /// Share of a pool's requests, from 0 to 1, that a new version may get before it is judged good.
+    /// Share of a pool's requests, from 0 to 1, that the version of a rollout may get before it is judged
+    /// good.
     pub trial_share: f64,
 }
 
@@ -144,7 +148,8 @@
     started: Instant,
     /// Configuration in force; `None` before the first one was read.
     configuration: Option<Arc<Configuration>>,
-    /// Rank of the lowest tier of each pool whose streams have several tiers.
+    /// Rank of the lowest tier among the routes of each pool that answer with streams; only of pools where
+    /// such routes have several tiers.
     lowest_tiers: BTreeMap<PoolName, u32>,
     /// Lowest rank that any account has, which is the highest number.
     lowest_account_rank: u32,
@@ -162,16 +167,17 @@
     target_list: Listing,
     /// Time at which the platform last answered a read of its list of targets.
     list_answered: Option<Instant>,
-    /// Versions of what other processes offer, by their addresses; only of processes that have something
-    /// that this one lacks.
+    /// Versions of the relayed data that other processes offer, by their addresses; only of processes with
+    /// data that this one lacks.
     offers: BTreeMap<SocketAddr, Known>,
     /// Topics for which a fetch from another process is in flight.
     fetching: BTreeSet<Topic>,
     /// Whether targets that are missing in the list are still used, since an outage just ended.
     keeps_vanished: bool,
-    /// Era of the platform's service; `None` before the first one was seen.
+    /// Era of the platform's service, which changes when the service is restored from a backup; `None` before
+    /// the first answer of the service.
     era: Option<Era>,
-    /// Time at which this process saw the era change; `None` for the first era that it saw.
+    /// Time at which this process saw the current era begin; `None` in the first era that it saw.
     era_began: Option<Instant>,
     /// Targets that left the list, with their incarnations and the times at which they left.
     departed: BTreeMap<TargetName, (Incarnation, Instant)>,
@@ -182,16 +188,17 @@
     requests: HashMap<Ticket, PendingRequest>,
     /// Requests that wait for a slot, by pool, in the order in which they are dispatched.
     waiting: BTreeMap<PoolName, BTreeSet<QueueKey>>,
-    /// Times at which waiting requests may be reserved at one more agent.
+    /// Times at which waiting requests may make one more reservation at an agent.
     reserve_at: BTreeSet<Instant>,
     /// Requests that wait for units of their account's limit.
     waiting_for_units: BTreeMap<AccountName, BTreeSet<QueueKey>>,
-    /// Time at which the first request that waits for its account's limit may be admitted; `None` where it
-    /// has to be computed again.
+    /// Earliest time at which a request that waits for units of its account's limit gets them; `None` where
+    /// it has to be computed again.
     next_grant: Option<Instant>,
-    /// Times at which something has to be decided about a request, unless it ended before.
+    /// Timers of requests: the promotion, the end of the wait for a slot, or the deadline. Timers of requests
+    /// that have ended are ignored.
     timers: BTreeSet<(Instant, Ticket)>,
-    /// Use of the limit of each account.
+    /// Token buckets of the limit of each account.
     accounts: BTreeMap<AccountName, Allowance>,
     /// Retry budgets by pool.
     budgets: BTreeMap<PoolName, RetryBudget>,
@@ -203,18 +210,19 @@
     process_index: ProcessIndex,
     /// Number of entry processes, this one included, whose rows are current.
     current_processes: u32,
-    /// Number of entry processes, this one included, whose parts of limits this one may use.
+    /// Number of entry processes, this one included, whose parts of accounts' limits this process may use
+    /// (see [`Peers::usable_parts`]).
     usable_parts: u32,
     /// Sequence number of the last row that this process made about itself.
     sequence: u64,
     crashes: CrashCounts,
     /// Time from which crash counts may be fetched again.
     next_crash_fetch: Option<Instant>,
-    /// Requests whose connection broke off, until it is known whether their target crashed.
+    /// Dispatches whose connection broke off, until it is known whether their target crashed.
     broken_dispatches: Vec<BrokenDispatch>,
     /// Targets for which a probe is in flight, with their incarnations.
     probing: BTreeMap<TargetName, Incarnation>,
-    /// Time at which the process ends, once it drains.
+    /// Time at which the process ends; `None` unless it is draining.
     drain_end: Option<Instant>,
 }
 
@@ -274,7 +282,8 @@
     is_target_reached: bool,
 }
 
-/// Returns the state of a process that just started: without a configuration, targets or peers.
+/// Returns the state of a process that just started, which knows no configuration, targets or other
+/// processes.
 pub fn open(now: Instant, settings: Settings) -> State {
     State {
         settings,
@@ -322,7 +331,8 @@
 /// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut State, now: Now, event: Event) -> Vec<Effect> {
     let mut effects = Vec::new();
-    // After a suspension of the host the configuration may be out of date, so check that before the event.
+    // The host may have been suspended since the last event, so the age of the configuration is checked
+    // first.
     state.update_freshness(now, &mut effects);
     match event {
         Event::RequestReceived(request) => state.handle_arrival(now, request, &mut effects),
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -151,10 +151,10 @@
     pub reservations: Vec<QueuedReservation>,
     /// Number of reservations made so far; the next one gets the next number.
     pub reservation_count: u32,
-    /// Time from which the request may be reserved at one more agent.
+    /// Time from which the request may make one more reservation at an agent.
     pub next_reservation_at: Instant,
-    /// Whether the request was selected for a version that is being rolled out; `None` before it was first
-    /// considered for a slot, `Some(false)` again once it was dispatched.
+    /// Whether the request was selected for the ordered version of a rollout; `None` until the request is
+    /// first considered for a slot, `Some(false)` from its first dispatch on.
     pub is_selected_for_rollout: Option<bool>,
     /// Current stage of the request.
     pub stage: Stage,
@@ -177,8 +177,8 @@
         QueueKey { ranks, arrived: self.arrived, ticket: self.request.ticket }
     }
 
-    /// Returns the time of the next queue timer of a waiting request: its promotion or, after that, the end
-    /// of its wait.
+    /// Returns the due time of a waiting request's timer: its promotion or, once it is promoted, the end of
+    /// its wait.
     pub fn next_timer(&self) -> Instant {
         if self.is_promoted { self.wait_deadline } else { self.promote_at }
     }
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Withdraws the request's selection for a version that is being rolled out, so that it is dispatched to
-    /// the established version. Returns whether it was selected.
+    /// Withdraws the request's selection for the ordered version of a rollout, so that the request is
+    /// dispatched to a base version. Returns whether it was selected.
     pub fn deselect_from_rollout(&mut self, rollouts: &mut Rollouts) -> bool {
         let was_selected = self.is_selected_for_rollout.replace(false) == Some(true);
         if was_selected {
@@ -223,8 +223,8 @@
         was_selected
     }
 
-    /// Returns what the request requires of a target: one that runs the established version, with no slots
-    /// left to other tiers. Callers overwrite `lane` and `is_lowest_tier` where that differs.
+    /// Returns what the request requires of a target, for a request that goes to a base version and may use
+    /// all slots. Callers overwrite `lane` and `is_lowest_tier` for other requests.
     pub fn demand<'a>(
         &self,
         now: Instant,
--- a/components/scheduler/src/direct/plan.rs
+++ b/components/scheduler/src/direct/plan.rs
@@ -43,8 +43,8 @@
     pub is_stream: bool,
     /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
-    /// Target latency: time to the answer, or to a stream's first event, within which a request earns its
-    /// full credit.
+    /// Target latency: time to the answer, or to a stream's first event, within which the answer has its
+    /// full worth.
     pub target_latency: Duration,
     /// Rank of the route's tier; 0 is the highest.
     pub rank: u32,
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -44,8 +44,8 @@
             Some(pending) if pending.wait_deadline > now => {
                 let previous_key = pending.queue_key();
                 pending.is_promoted = true;
-                // A request that found no slot at a version that is being rolled out may still find one at
-                // the established version.
+                // A request that found no slot at a target of the ordered version may still find one at a
+                // target of a base version.
                 let was_selected = pending.deselect_from_rollout(&mut self.rollouts);
                 // Reservations carry the rank and the version of the request, so new ones are made.
                 if was_selected || pending.queue_key().ranks != previous_key.ranks {
@@ -76,8 +76,9 @@
         }
     }
 
-    /// Handles all timers that are due: frees a slot that was held for a move, promotes a request, ends its
-    /// search for another target, or refuses it.
+    /// Handles all timers that are due. A request that holds a slot at a second target releases it; a waiting
+    /// request is promoted; a request in flight stops its search for another target; any other request is
+    /// refused.
     pub(super) fn handle_due_timers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         while let Some(&(at, ticket)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, ticket));
@@ -113,8 +114,8 @@
             }
             let modes = self.capacity.admission_modes(now.steady, pool);
             let mut dequeued = Vec::new();
-            // Whether a request for the established version may still find a slot at a target without an
-            // agent, and whether one of the lowest tier may, which leaves slots to other tiers.
+            // Whether requests for base versions may still find a slot at a target without an agent: first
+            // those of any tier, then those of the lowest tier, which may not use all slots.
             let (mut has_room, mut has_room_for_lowest) = (modes.has_shared_slots, true);
             for key in queue.iter() {
                 let Some(pending) = self.requests.get_mut(&key.ticket) else {
@@ -129,7 +130,7 @@
                     }
                     pending.charge = RetryCharge::Taken;
                 }
-                // The lowest tier leaves slots to the others where its requests hold theirs for longest.
+                // The lowest tier may not use all slots if its requests hold their slots longest.
                 let is_lowest = self.lowest_tiers.get(pool) == Some(&pending.tier)
                     && self.slot_times.is_longest(pool, pending.tier);
                 // Uniform from 0 up to but excluding 1.
@@ -174,8 +175,8 @@
                         effects.push(effect);
                         continue;
                     }
-                    // Where a request that may use only some slots or targets finds none, the next request
-                    // may still find one.
+                    // This request found no slot. Other requests may still find one if this one is of the
+                    // lowest tier, which may not use all slots, or must avoid targets that may have run it.
                     if lane == Lane::Base {
                         has_room_for_lowest &= !is_lowest;
                         has_room = is_lowest || !pending.possibly_ran_at.is_empty();
@@ -202,8 +203,9 @@
     }
 }
 
-/// Assigns a slot to a request. Returns the effect that dispatches it or, where the request is still in
-/// flight at another target, the effect that ends that dispatch; the slot is held until it has ended.
+/// Assigns a slot to a request and returns the effect that dispatches the request. If the request is still in
+/// flight at an unresponsive target, the effect cancels that dispatch instead, and the slot is held until the
+/// dispatch has ended.
 pub(super) fn assign_slot(
     now: Instant,
     pending: &mut PendingRequest,
@@ -231,7 +233,7 @@
 ) -> Dispatch {
     pending.dispatches += 1;
     pending.charge = RetryCharge::Nothing;
-    // The selection for a rollout is used up: any retry goes to the established version.
+    // The selection for the ordered version covers one dispatch: any retry goes to a base version.
     pending.deselect_from_rollout(rollouts);
     rollouts.count_dispatch(&pending.pool, &pending.route, slot.is_ordered_version);
     let unresponsive_timeout =
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -21,9 +21,11 @@
 const INITIAL_RESERVATIONS: usize = 2;
 /// Maximum number of reservations that a request has at a time.
 const MAX_RESERVATIONS: usize = 6;
-/// Boost of a request whose answer ends in time at no target, as a part of the time from its arrival to its
-/// promotion. Agents that grant the newest request of a tier first treat the request as newer by the boost.
-/// It falls linearly to zero for a request whose answer ends in time at all targets.
+/// Recency boost of a request whose answer would end before its deadline at no target, as a part of the time
+/// from the request's arrival to its promotion (see [`PROMOTION_SHARE`](super::PROMOTION_SHARE)). The boost
+/// is added to the remaining time that the agent is told, so an agent that grants the newest request of a
+/// tier first grants this one earlier. The boost falls linearly to zero for a request whose answer would end
+/// before its deadline at all targets.
 const MAX_BOOST_RATIO: f64 = 2.0 / 3.0;
 /// Delay before a request without reservations makes another one; doubles with each reservation that it has.
 const BASE_RESERVATION_DELAY: Duration = Duration::from_millis(40);
--- a/components/scheduler/src/direct/rollout/message.rs
+++ b/components/scheduler/src/direct/rollout/message.rs
@@ -89,7 +89,7 @@
     pub pool: PoolName,
     /// The ordered version.
     pub version: Version,
-    /// Action that was taken.
+    /// Action that this process takes in the step.
     pub action: Action,
     /// Time since the operator gave the order.
     pub age: Duration,
--- a/components/scheduler/src/direct/settle.rs
+++ b/components/scheduler/src/direct/settle.rs
@@ -14,7 +14,8 @@
     queue,
 };
 
-/// State, at the end of a dispatch, of the request's search for another target.
+/// How far a request, when its dispatch to an unresponsive target ends, has got in its search for another
+/// target.
 enum Search {
     /// The request wasn't searching.
     NotStarted,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns a request's dispatch that is in flight; `None` where the request has ended or is only queued.
+    /// Returns the dispatch of a request that is in flight; `None` if the request has ended or is queued.
     pub(super) fn in_flight(&mut self, ticket: Ticket) -> Option<&mut InFlight> {
         self.requests.get_mut(&ticket)?.in_flight_mut()
     }
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Continues a request whose dispatch ended while the request waited for a slot at another target or had
-    /// one: dispatches it there, queues it again, or refuses it.
+    /// Continues a request whose dispatch ended while the request searched for another target: dispatches it
+    /// to the target at which a slot is held, queues it again if there is none, or refuses it.
     fn continue_search(
         &mut self,
         now: Instant,
@@ -226,9 +227,10 @@
         }
     }
 
-    /// Queues a request again that its target provably didn't run. `was_delivered` is `true` where the
-    /// target, or another one at its address, received the request; that takes a retry from the budget, and
-    /// the request is refused where none is left. An interrupted answer stays queued until one is available.
+    /// Queues a request again that its target provably didn't run. `was_delivered` is `true` if the target,
+    /// or another one at its address, received the request: the next dispatch then takes a retry from the
+    /// budget. If no retry is left, the request is refused or, if its caller already has a part of the
+    /// answer, waits for one.
     pub(super) fn requeue_unexecuted(
         &mut self,
         now: Now,
@@ -254,8 +256,8 @@
         self.enqueue(ticket);
     }
 
-    /// Queues a request again that its target may have run, where its route, its attempts, the quarantine and
-    /// the retry budget allow that; else refuses it.
+    /// Queues a request again that its target may have run, if its route, the number of its attempts, the
+    /// quarantine and the retry budget allow that; refuses it otherwise.
     pub(super) fn retry_executed(
         &mut self,
         now: Now,
@@ -271,7 +273,8 @@
         let (pool, body) = (pending.pool.clone(), pending.request.fingerprint);
         let begun = pending.has_begun;
         let is_harmless = !self.is_quarantined(&body);
-        // An interrupted answer waits for a retry and a slot until the caller's deadline.
+        // A request whose caller already has a part of the answer waits for a retry and a slot until its
+        // deadline.
         if allowed && is_harmless && (begun || self.take_retry(now.steady, &pool)) {
             if let Some(pending) = self.requests.get_mut(&ticket) {
                 let wait = now.steady + RETRY_WAIT_MAX;
@@ -333,10 +336,10 @@
         self.count_crashes(now, target, false, effects);
     }
 
-    /// Counts a crash for each request body whose connection to a target broke shortly before the target was
-    /// found unreachable or, with `restarted`, to have started again: the target crashed while it ran that
-    /// body. Bodies that reach the limit of crashes are quarantined. Connections that broke before a
-    /// successful probe of the target count only for a restart.
+    /// Counts a target's crash for the body of each request whose connection to the target broke off within
+    /// [`CRASH_WINDOW`] before the target was found unreachable or, if `restarted` is set, restarted. Bodies
+    /// with [`QUARANTINE_CRASHES`] crashes are quarantined. If the target accepted a connection since, only
+    /// a restart counts as a crash.
     pub(super) fn count_crashes(
         &mut self,
         now: Instant,
@@ -364,14 +367,15 @@
         }
     }
 
-    /// Returns whether requests with this body are refused, since it reached the limit of crashes.
+    /// Returns whether requests with this body are refused because the body crashed targets
+    /// [`QUARANTINE_CRASHES`] times.
     pub(super) fn is_quarantined(&self, body: &Fingerprint) -> bool {
         self.crashes.crashes_of(body) >= QUARANTINE_CRASHES
     }
 
     /// Ends a request without a whole answer: refuses it or, where a target answered with a failure and the
-    /// caller got nothing yet, passes that failure on. `ran` is `true` where the last target may have run
-    /// it. Callers whose request provably didn't run get a time after which they may retry.
+    /// caller got nothing yet, passes that failure on. `ran` is `true` if the last target may have run the
+    /// request. If the request provably didn't run, the caller is told after what time it may retry.
     pub(super) fn refuse(
         &mut self,
         now: Instant,
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -124,7 +124,8 @@
         self.update_peers(now, effects);
     }
 
-    /// Drops the targets that are missing in the list once live ones must be listed again.
+    /// Removes the targets that were kept after an outage although the platform's list lacks them, once
+    /// [`RELISTING_TIME`] has passed: by then the platform lists every running target again.
     pub(super) fn drop_vanished_targets(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if self.keeps_vanished && !self.is_recovering_from_outage(now) {
             self.apply_target_list(now, false, effects);
--- a/components/scheduler/src/entry/event.rs
+++ b/components/scheduler/src/entry/event.rs
@@ -201,8 +201,8 @@
         /// The claim to send.
         ask: claim::Ask,
     },
-    /// Report the outcome of an attempt to the home of its idempotency key. A failure comes back as
-    /// [`Event::Unsettled`].
+    /// Report the outcome of an attempt to the home of its idempotency key: the agent that decides on
+    /// claims of that key. A failure comes back as [`Event::Unsettled`].
     Settle {
         /// Control address of the home.
         address: SocketAddr,
--- a/components/scheduler/src/entry/seek.rs
+++ b/components/scheduler/src/entry/seek.rs
@@ -257,9 +257,10 @@
     }
 }
 
-/// Returns the key that determines the order of targets for a request. Requests whose prompts
-/// share their first `SHARED_BLOCKS` blocks share the key, and so do all requests with the same
-/// suspected body; a request without a prompt prefix has a key of its own.
+/// Returns the key that determines the order of targets for a request. Requests whose prompts share
+/// their first `SHARED_BLOCKS` blocks share the key, and so do all requests with the same body if
+/// that body is suspected of crashing engines; a request without a prompt prefix has a key of its
+/// own.
 fn placement_key(pending: &Pending) -> BlockHash {
     if pending.runs_alone {
         return u128::from_le_bytes(pending.request.fingerprint) as BlockHash;
--- a/components/scheduler/src/order.rs
+++ b/components/scheduler/src/order.rs
@@ -76,7 +76,7 @@
     actual: Option<Setup>,
     /// Whether a read or an order is in flight; there is at most one.
     is_call_in_flight: bool,
-    /// Earliest time of the next read of the setup.
+    /// Earliest time at which the engine's setup may be read again.
     next_read_at: Instant,
 }
 
