--- a/components/gateway/src/agents.rs
+++ b/components/gateway/src/agents.rs
@@ -64,7 +64,8 @@
                 Ok((client, load)) => {
                     metrics.reserved("granted");
                     on_ended(Event::Granted { ticket, number, load });
-                    // Where the agent is unreachable, it holds no slot any more; the request runs anyway.
+                    // The call ends early if the agent becomes unreachable, which then holds no slot for the
+                    // request; the request runs anyway.
                     let _ = client.hold(context(MAX_HOLD), id, reservation.address).await;
                 }
                 Err(reason) => {
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -39,8 +39,8 @@
     pub client: TargetClient,
 }
 
-/// A request that was passed to the control thread. Where it is dropped before the request ended, the caller
-/// disconnected, and the control thread is informed.
+/// A request that was passed to the control thread. If the value is dropped before the request has ended, its
+/// caller disconnected: the value's destructor informs the control thread.
 struct Session {
     context: Arc<Context>,
     call: Arc<Call>,
@@ -355,8 +355,9 @@
     }
 }
 
-/// Returns whether an event wasn't passed on yet, by the ID of the last one that was. IDs are numbers that
-/// grow within a stream; an event counts as new where either ID is missing or isn't a number.
+/// Returns whether an event with the given ID wasn't passed to the caller yet, where `last` is the ID of the
+/// last event that was. IDs are numbers that increase within a stream; an event counts as new if either ID is
+/// missing or isn't a number.
 fn is_new(last: Option<&str>, id: Option<&str>) -> bool {
     let number = |text: Option<&str>| text.and_then(|text| text.parse::<u64>().ok());
     match (number(last), number(id)) {
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -93,7 +93,7 @@
 pub struct Status {
     /// Whether the process accepts requests: its configuration is current and it isn't draining.
     pub ready: bool,
-    /// Whether the row of any other entry process that may take requests is missing or out of date.
+    /// Whether this process lacks a current row of any other entry process that may take requests.
     pub lonely: bool,
     /// Addresses of the other entry processes that may be alive, sorted.
     pub peers: Vec<SocketAddr>,
@@ -101,8 +101,8 @@
     pub plan: Option<Arc<Configuration>>,
     /// Reports on rollouts that have to be written to the platform's service.
     pub reports: Vec<Report>,
-    /// Index of this process among the entry processes that may write the same reports; each waits for the
-    /// ones before it.
+    /// Index of this process among the entry processes, all of which may write the same reports. A process
+    /// delays its reports in proportion to its index, so that normally only one writes them.
     pub turn: u32,
 }
 
@@ -199,7 +199,7 @@
         let _ = self.messages.send(Message::Event(event));
     }
 
-    /// Adds addresses of entry processes that may be alive.
+    /// Informs the reducer of the addresses of other entry processes, which may have stopped.
     pub fn introduce(&self, seeds: &[SocketAddr]) {
         let seeds = seeds.iter().map(|&address| Registration { address, stamp: 0 });
         self.send(Event::PeersDiscovered(seeds.collect()));
@@ -324,7 +324,8 @@
             }
             Message::Pack { topic, reply } => {
                 let (state, now) = (&self.state, now());
-                // The default position where the topic isn't offered: no packed data has that version.
+                // If this process doesn't offer the topic, `version` is the default position, which no
+                // packed data has.
                 let version = state.offer(now).known.version(topic);
                 let packed = self.links.pack(topic, version, || state.topic_data(now, topic));
                 let _ = reply.send(packed);
@@ -465,7 +466,7 @@
         }
     }
 
-    /// Sends the last command to a request and removes the request.
+    /// Sends the last command to the task of a request and removes the request.
     fn end(&mut self, ticket: Ticket, command: Command) {
         if let Some(commands) = self.commands.remove(&ticket) {
             let _ = commands.send(command);
@@ -522,7 +523,7 @@
     }
 
     /// Starts an exchange with each process whose address is higher than this process's, and with each
-    /// process whose row isn't current. Processes with lower addresses start the others.
+    /// process whose row isn't current. The exchanges with all other processes are started by those.
     fn exchange_with_peers(&mut self) {
         self.exchange_rounds += 1;
         let now = now();
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -33,7 +33,7 @@
 /// Number of unanswered probes after which a connection is closed as dead.
 const KEEPALIVE_RETRIES: u32 = 2;
 /// Time for which an idle connection is kept open. It is shorter than the idle timeout of targets, so that no
-/// request is sent on a connection that its target just closes.
+/// request is sent on a connection while the target closes it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after a request's deadline for which this process still waits for the target's own answer that the
 /// deadline passed.
@@ -111,7 +111,7 @@
     let answer = answer.map_err(|error| failure_outcome(&error))?;
     let (mut head, body) = answer.into_parts();
     let verdict = (dialect.judge)(&head, call);
-    // With any other verdict the answer isn't one of this target.
+    // Answers with any other verdict weren't made by this target.
     if matches!(verdict, Verdict::Answer | Verdict::Failure | Verdict::NotRun) {
         match (dialect.limit)(&head) {
             Ok(per_second) => per_second.into_iter().for_each(on_rate_limit),
--- a/components/gateway/src/ingress.rs
+++ b/components/gateway/src/ingress.rs
@@ -144,7 +144,7 @@
 
 /// Serves the requests of one connection of a caller.
 async fn serve_caller(shared: Arc<Shared>, stream: TcpStream) {
-    // This fails only where the connection is closed, and then so does its first use.
+    // Setting the option fails only if the connection is closed, and then the first read fails too.
     let _ = stream.set_nodelay(true);
     // Number of requests since the last idle timeout, shared with the service.
     let requests = Arc::new(AtomicUsize::new(0));
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,5 +1,6 @@
-//! The entry process for direct dispatch: it accepts callers' requests, sends them directly to targets,
-//! which need no agent, and relays the answers.
+//! The entry process for direct dispatch: it accepts callers' requests, sends them directly to targets and
+//! relays the answers. Targets may have an agent that grants slots, but requests and answers don't pass
+//! through the agent.
 //!
 //! The control thread owns the state of scheduling and communicates with the other entry processes; the
 //! traffic thread serves requests. A [`Dialect`] converts between HTTP messages and the types of this
--- a/components/gateway/src/links.rs
+++ b/components/gateway/src/links.rs
@@ -20,8 +20,8 @@
 
 /// Result of a call to the process at an address.
 pub enum CallResult {
-    /// Result of an exchange; `None` where it wasn't answered, else the client for the next call and the
-    /// answer.
+    /// Result of an exchange: the client for the next call and the answer, or `None` if the other process
+    /// didn't answer.
     Exchange(SocketAddr, Option<(PeerClient, ExchangeAnswer)>),
     /// Result of a fetch of a topic.
     Fetch(SocketAddr, Topic, Result<Fetched, relay::Error>),
@@ -37,8 +37,8 @@
     client: Option<PeerClient>,
     /// Whether an exchange is in flight.
     is_exchanging: bool,
-    /// When the first of the latest unanswered exchanges ended; `None` while the last one was answered, or
-    /// none has ended.
+    /// When the first exchange of the current run of unanswered ones ended; `None` if the last exchange was
+    /// answered or none has ended.
     unanswered_since: Option<Instant>,
 }
 
--- a/components/scheduler/src/agent/mod.rs
+++ b/components/scheduler/src/agent/mod.rs
@@ -121,7 +121,7 @@
     /// Highest configuration offset that was received from another process or applied by this one.
     highest_offset: Offset,
     is_draining: bool,
-    /// Whether the target accepts no requests; while it doesn't, reservations are denied.
+    /// Whether the target accepts no requests; while this is set, all reservations are denied.
     is_unreachable: bool,
     /// Requests in flight at the target that were sent without a reservation at this agent.
     unreserved_requests: usize,
@@ -330,8 +330,9 @@
         self.run_times.end(now, id, started_at, usage.work);
     }
 
-    /// Records which bodies ran when the target crashed. A suspect body that ran alone is banned, and
-    /// waiting reservations with the same body are denied by `issue_grants`.
+    /// Records which bodies ran when the target crashed. A suspected body that ran alone is banned for
+    /// [`suspects::BAN_DURATION`], and waiting reservations with the same body are denied by
+    /// `issue_grants`.
     fn record_crash(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let is_running = |stage: &Stage| matches!(stage, Stage::Running { .. });
         let running = self.active.iter().filter(|(_, stage)| is_running(stage));
--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -327,7 +327,8 @@
         Answer::Known(mark)
     }
 
-    /// Fences the question's key; where too many keys are fenced, fences all keys instead.
+    /// Fences the key of a question: this agent grants the key only once it has applied the
+    /// question's epoch. If too many keys are fenced already, the fence applies to all keys.
     fn fence_key(&mut self, question: Question) {
         if self.key_fences.len() >= self.settings.claims {
             self.common_fence = self.common_fence.max(question.epoch);
--- a/components/scheduler/src/direct/admit.rs
+++ b/components/scheduler/src/direct/admit.rs
@@ -104,8 +104,9 @@
         })
     }
 
-    /// Returns the account that a key belongs to; `None` where the route is public or no accounts are
-    /// configured. A stale configuration may lack the key, so that no key is accepted or rejected by it.
+    /// Returns the account that an API key belongs to; `None` where the route is public or no accounts
+    /// are configured. While the configuration may be out of date, a key is neither accepted nor
+    /// rejected, since the configuration may lack it or still have it.
     fn authenticate(
         &self,
         configuration: &Configuration,
--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -180,8 +180,8 @@
     }
 
     /// Sets the shared bucket to the units left at a process that started earlier, less the units that
-    /// this process admitted; of several such processes the most units left count. The process gets no
-    /// more extra units for its start then.
+    /// this process admitted; of several such processes the most units left count. After that, the
+    /// process gets no more extra units for its start.
     pub fn adopt(&mut self, now: Instant, left: i64) {
         let left = left as f64 - self.admitted_units as f64;
         self.shared_units = if self.has_adopted { self.shared_units.max(left) } else { left };
@@ -200,8 +200,8 @@
         let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.refilled = now;
         let processes = f64::from(share.processes);
-        // The extra units after a start come evenly over this time, so that all starts in a window get
-        // no more than the fraction of the tolerance that is meant for them together.
+        // The extra units after a start are added evenly over this time, so that all starts within a
+        // window together add no more than [`STARTS_TOLERANCE`].
         let start_time = share.tolerance.window.mul_f64(START_TOLERANCE / STARTS_TOLERANCE);
         let start_fraction = elapsed.min(self.start_fraction_left * start_time.as_secs_f64())
             / start_time.as_secs_f64();
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -99,7 +99,7 @@
     ms_per_token: Option<f64>,
     /// Moving average of the part of requests, from 0 to 1, that failed or were lost.
     failure_rate: f64,
-    /// The newest information on the target's rate limit; `None` if the target never named one.
+    /// The target's rate limit, as last learnt; `None` if the target never stated one.
     limit: Option<News>,
     /// Spaces requests that are sent without an agent's grant; `Some` only while `limit` has an interval.
     pacer: Option<Pacer>,
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Returns the slots that this process may use whatever the other processes do. If the slots can't be
-    /// divided evenly, some processes get one more; which ones differs by target.
+    /// Returns the number of slots that this process may use regardless of the load of the other processes.
+    /// If the slots can't be divided evenly, some processes get one more; which ones differs by target.
     fn guaranteed_slots(&self, process: ProcessIndex) -> u32 {
         let slots = self.target.slots;
         slots / process.count + u32::from(self.rotated_index(process) < slots % process.count)
@@ -184,8 +184,8 @@
             || (self.own_requests < self.guaranteed_slots(process) && used <= self.target.slots)
     }
 
-    /// Reports whether the target accepts requests: it is listed, ready and not in backoff, and its
-    /// version accepts requests.
+    /// Reports whether the target accepts requests: it is listed and ready, it is not in backoff, and its
+    /// lane isn't closed.
     fn is_available(&self, now: Instant) -> bool {
         let is_open = self.is_listed && self.target.is_ready && self.lane != Lane::Closed;
         is_open && self.backoff_until.is_none_or(|until| until <= now)
@@ -215,8 +215,8 @@
             * (1.0 + FAILURE_COST_FACTOR * self.failure_rate)
     }
 
-    /// Reports whether the target still needs so long to read pending prompts that the next request is better
-    /// kept in the queue, where a request of a higher tier can still overtake it.
+    /// Reports whether the target needs more than [`MAX_PREFILL_BACKLOG_MS`] to read its pending prompts. The
+    /// next request then stays in the queue, where a request of a higher tier can still overtake it.
     fn has_prefill_backlog(&self, default_ms_per_token: f64) -> bool {
         self.first_event_ms_per_token.unwrap_or(default_ms_per_token)
             * (self.own_prefill_tokens + self.others_prefill_tokens)
@@ -272,8 +272,8 @@
 impl Capacity {
     /// Replaces the list of targets by the platform's. Targets that aren't in it accept no more requests and
     /// are kept only while they have requests of this process. Returns the targets that restarted; their
-    /// state is reset, since their requests have ended and their speed and failures were those of another
-    /// process.
+    /// state is reset, since their requests have ended and their speed and failures were observed on the
+    /// earlier incarnation.
     pub fn replace_targets(&mut self, targets: Vec<Target>) -> Vec<TargetName> {
         let mut restarted = Vec::new();
         let previous = std::mem::take(&mut self.states).into_iter();
@@ -333,7 +333,7 @@
         )
     }
 
-    /// Replaces the load of other processes at targets that aren't reached by an agent.
+    /// Replaces the load that other processes put on targets whose slots are shared without an agent.
     pub fn replace_other_load<'a>(
         &mut self,
         now: Instant,
@@ -352,8 +352,8 @@
         }
     }
 
-    /// Returns the load of this process at targets that aren't reached by an agent, to be sent to the other
-    /// entry processes.
+    /// Returns the load that this process puts on targets whose slots are shared without an agent, for the
+    /// row that it sends to the other entry processes.
     pub fn own_load(&self, now: Instant) -> Vec<TargetLoad> {
         let is_shared = |state: &TargetState| state.own_requests > 0 && !state.uses_agent(now);
         let load = self.states.iter().filter(|state| is_shared(state)).map(|state| TargetLoad {
@@ -399,8 +399,8 @@
         Some(state.occupy(demand.prompt_tokens, default_ms_per_token))
     }
 
-    /// Sets the lane of each listed target. `lanes` returns the lanes of a pool's targets in the order of the
-    /// given versions, each of which comes with whether the target is ready.
+    /// Sets the lane of each listed target. `lanes` is called for each pool with the version of each target
+    /// and whether that target is ready, and returns the targets' lanes in the same order.
     pub fn assign_lanes(
         &mut self,
         mut lanes: impl FnMut(&PoolName, &[(&Version, bool)]) -> Vec<Lane>,
@@ -420,7 +420,9 @@
         }
     }
 
-    /// Returns the number of ready targets whose version accepts no requests.
+    /// Returns the number of ready targets that get no requests because of their version: no running rollout
+    /// ordered it, the canary phase needs no more targets, or all requests have been shifted to another
+    /// version.
     pub fn closed_count(&self) -> usize {
         let is_closed = |state: &&TargetState| state.target.is_ready && state.lane == Lane::Closed;
         self.states.iter().filter(is_closed).count()
@@ -432,7 +434,8 @@
         others.map(|state| state.own_requests).sum()
     }
 
-    /// Returns whether targets of a pool are reached by agents, by rows, or both.
+    /// Returns how requests are admitted to the targets of a pool: by agents, by the slots that entry
+    /// processes share, or by both.
     pub fn admission_modes(&self, now: Instant, pool: &str) -> AdmissionModes {
         self.pool_targets(pool).fold(AdmissionModes::default(), |modes, state| AdmissionModes {
             has_agents: modes.has_agents || state.agent.is_some(),
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -1,4 +1,4 @@
-//! Targets whose requests are reserved at an agent before they are sent.
+//! Targets at which an agent grants slots: a request is sent once its reservation at the agent is granted.
 
 use std::{
     hash::BuildHasher,
@@ -100,9 +100,9 @@
     }
 
     /// Chooses an agent for each target at which an entry process's part is at most one slot: with so many
-    /// processes, rows are older than the time for which a slot is held. The agent of another target is
-    /// used only if the part is less than one slot. A process that has discovered no other process may yet do
-    /// so, and uses every target's own agent.
+    /// processes, rows are older than the time for which a slot is held. The agent of another target is used
+    /// only if the part is less than one slot. A process that has discovered no other process yet uses every
+    /// target's own agent, since other processes may exist.
     pub(super) fn assign_agents(&mut self) {
         let ready = self.states.iter().map(|state| &state.target).filter(|target| target.is_ready);
         let agents: Vec<_> =
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Chooses a target with an agent at which a request isn't reserved yet; `None` if there is none. The
-    /// first choice is the target with the lowest expected time to the first event. Further choices are
+    /// Chooses a target with an agent at which the request has no reservation yet; `None` if there is none.
+    /// The first choice is the target with the lowest expected time to the first event. Further choices are
     /// random and weighted by cost, since this process has little information on targets that many processes
     /// share.
     pub fn choose_target(
@@ -156,7 +156,8 @@
         Some(state)
     }
 
-    /// Counts the targets where a request's answer is expected to end in time.
+    /// Counts the targets that accept a request, and those at which its answer is expected to end before the
+    /// deadline.
     pub fn count_fitting(&self, now: Instant, demand: &Demand<'_>) -> FittingTargets {
         let fastest = self.fastest_ms_per_token(now, demand);
         let candidates = self.pool_targets(demand.pool);
--- a/components/scheduler/src/direct/capacity/limits.rs
+++ b/components/scheduler/src/direct/capacity/limits.rs
@@ -1,8 +1,8 @@
-//! Rate limits that targets name in their answers.
+//! Rate limits that targets state in their answers.
 //!
 //! The agent of a target spaces its grants by the limit, since it sees the requests of all entry processes.
-//! While no agent is reachable, entry processes take turns: one at a time, which all of them determine alike,
-//! sends as many requests as the limit allows.
+//! While no agent is reachable, the entry processes take turns: one process at a time, which all of them
+//! compute from their indexes, sends as many requests as the limit allows.
 
 use std::time::{Duration, Instant};
 
@@ -15,8 +15,8 @@
 /// Factor on the interval between requests that are sent without the target's agent, which leaves them half
 /// of the limit. Other processes may still reach the agent, which then grants the whole limit.
 const UNREACHABLE_AGENT_INTERVAL_FACTOR: u32 = 2;
-/// Time without new information on the limit after which the next process may send to the target. Without
-/// turns, a process that has no requests would keep the target from all others.
+/// Time without a new statement of the limit after which the turn passes to the next process. Otherwise a
+/// process that has no requests would keep all others from sending to the target.
 const TURN_DURATION: Duration = Duration::from_secs(5);
 
 impl TargetState {
@@ -32,8 +32,8 @@
         self.interval().is_some()
     }
 
-    /// Returns the newest information on the target's limit, as it is sent to agents and entry processes;
-    /// `None` if the target never named a limit.
+    /// Returns the target's limit, as last learnt, in the form in which it is sent to agents and entry
+    /// processes; `None` if the target never stated a limit.
     pub fn limit_report(&self, now: Instant) -> Option<Limit> {
         let News { interval, at } = self.limit?;
         Some(Limit { interval, age: now.saturating_duration_since(at) })
@@ -65,14 +65,14 @@
         self.expected_grant = self.interval().map(|interval| now + interval * (waiting + 1));
     }
 
-    /// Starts to space requests anew as if the limit were used up, since the requests that other processes
-    /// sent are unknown.
+    /// Restarts the pacer as if the limit were used up, since the requests that other processes sent are
+    /// unknown.
     pub(super) fn reset_pacer(&mut self, now: Instant) {
         self.pacer = self.interval_without_agent().map(|interval| Pacer::open(now, interval));
     }
 
-    /// Returns the interval between two requests without an agent's grant; `None` if the target isn't
-    /// limited.
+    /// Returns the interval between two requests that this process sends without an agent's grant; `None` if
+    /// the target isn't rate-limited.
     fn interval_without_agent(&self) -> Option<Duration> {
         let factor = if self.agent.is_some() { UNREACHABLE_AGENT_INTERVAL_FACTOR } else { 1 };
         Some(self.interval()? * factor)
@@ -90,7 +90,7 @@
 }
 
 impl Capacity {
-    /// Records information on a target's limit unless newer information is known. Returns whether the limit
+    /// Records a statement of a target's limit unless a newer statement is known. Returns whether the limit
     /// changed.
     pub fn record_limit(
         &mut self,
@@ -110,8 +110,8 @@
         before != news.interval
     }
 
-    /// Records that the answer to a request dispatched at `dispatched` named no limit. Returns whether this
-    /// lifted a limit: the request must have been dispatched long enough after the limit was last named.
+    /// Records that the answer to a request dispatched at `dispatched` stated no limit. Returns whether this
+    /// lifted a limit: the request must have been dispatched long enough after the limit was last stated.
     pub fn clear_limit(&mut self, now: Instant, slot: &Slot, dispatched: Instant) -> bool {
         let state = self.state(&slot.target);
         let known = state.and_then(|state| state.limit);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the newest information on the limit of each target that ever named one.
+    /// Returns the limit, as last learnt, of each target that ever stated one.
     pub fn limit_reports(&self, now: Instant) -> impl Iterator<Item = (&TargetState, Limit)> {
         self.states.iter().filter_map(move |state| Some((state, state.limit_report(now)?)))
     }
--- a/components/scheduler/src/direct/crashes.rs
+++ b/components/scheduler/src/direct/crashes.rs
@@ -1,4 +1,4 @@
-//! Counts of the target crashes that each request body was part of, over all entry processes.
+//! Counts, over all entry processes, of the target crashes during which each request body was running.
 //!
 //! Each process keeps its own counts and those that it fetched from others, so that a count outlives the
 //! process that made it. Each exchange carries only a digest of all counts; a process with a different
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns the number of target crashes that a body was part of, over all processes.
+    /// Returns the number of target crashes during which a body was running, counted by all processes
+    /// together.
     pub fn crashes_of(&self, body: &Fingerprint) -> u32 {
         self.counts.get(body).map_or(0, |counts| counts.values().map(|tally| tally.crashes).sum())
     }
--- a/components/scheduler/src/direct/event.rs
+++ b/components/scheduler/src/direct/event.rs
@@ -376,7 +376,8 @@
 pub struct FittingTargets {
     /// Number of targets of the pool that accept such requests.
     pub available: u32,
-    /// Number of those targets at which the answer ends in time, or that are among the fastest.
+    /// Number of those targets at which the answer is expected to end before its deadline, or that are among
+    /// the fastest.
     pub fitting: u32,
     /// Number of those targets that are among the fastest, by the speeds that their agents report.
     pub fast: u32,
@@ -385,7 +386,7 @@
 }
 
 impl FittingTargets {
-    /// Returns the share of the targets, from 0 to 1, at which the answer doesn't end in time.
+    /// Returns the share of the available targets, from 0 to 1, that aren't counted as fitting.
     pub fn unfitting_share(&self) -> f64 {
         if self.available == 0 {
             0.0
@@ -525,7 +526,8 @@
         /// Number of targets that the list lacks but that are still used, because an outage of the platform
         /// just ended.
         kept: usize,
-        /// Number of ready targets that get no requests, because no rollout to their version was ordered.
+        /// Number of ready targets that get no requests because of their version, mostly since no rollout to
+        /// it was ordered.
         unordered: usize,
     },
     /// The configuration is known to be current (`true`), or may be out of date (`false`).
--- a/components/scheduler/src/direct/limits.rs
+++ b/components/scheduler/src/direct/limits.rs
@@ -2,8 +2,8 @@
 //!
 //! When a process starts, its buckets are nearly empty, since the units admitted before aren't known, and
 //! fill at the account's rate. A request that arrives then lacks units for tenths of a second. Callers
-//! that were refused for that retried too late, so a request waits if its units become available within
-//! a fixed part of its longest wait, and is then answered in time.
+//! that were refused because of this retried too late. So a request waits if its units become available
+//! within a fixed part of its maximum wait; it can then still be answered in time.
 
 use std::{
     collections::BTreeSet,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Lets a request that got its units wait for room at a target.
+    /// Moves a request that got its units to the queue of its pool, where it waits for a slot.
     fn queue_for_target(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get_mut(&ticket) {
             pending.stage = Stage::WaitingForSlot;
--- a/components/scheduler/src/direct/mod.rs
+++ b/components/scheduler/src/direct/mod.rs
@@ -73,7 +73,7 @@
 /// counted as a crash caused by the request on that connection.
 const CRASH_WINDOW: Duration = Duration::from_secs(2);
 /// Share of a request's maximum wait that it may spend waiting for units of its account's limit: a caller
-/// that is refused then can still retry in time to be served.
+/// that is refused after that wait can still retry before its deadline.
 const LIMIT_WAIT_SHARE: f64 = 0.4;
 /// Maximum retry time in seconds that is suggested to a caller whose account exceeds its limit.
 const LIMIT_RETRY_MAX_S: f64 = 30.0;
@@ -172,14 +172,16 @@
     offers: BTreeMap<SocketAddr, Known>,
     /// Topics for which a fetch from another process is in flight.
     fetching: BTreeSet<Topic>,
-    /// Whether targets that are missing in the list are still used, since an outage just ended.
+    /// Whether targets that the platform's list lacks are still used, because an outage of the platform just
+    /// ended.
     keeps_vanished: bool,
     /// Era of the platform's service, which changes when the service is restored from a backup; `None` before
     /// the first answer of the service.
     era: Option<Era>,
     /// Time at which this process saw the current era begin; `None` in the first era that it saw.
     era_began: Option<Instant>,
-    /// Targets that left the list, with their incarnations and the times at which they left.
+    /// Targets that were removed from the platform's list, with their incarnations and the times of their
+    /// removal.
     departed: BTreeMap<TargetName, (Incarnation, Instant)>,
     /// Whether any other process has sent an offer.
     has_received_offer: bool,
@@ -216,7 +218,7 @@
     /// Sequence number of the last row that this process made about itself.
     sequence: u64,
     crashes: CrashCounts,
-    /// Time from which crash counts may be fetched again.
+    /// Earliest time at which crash counts may be fetched from another process again.
     next_crash_fetch: Option<Instant>,
     /// Dispatches whose connection broke off, until it is known whether their target crashed.
     broken_dispatches: Vec<BrokenDispatch>,
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -27,10 +27,10 @@
 /// Part of the exchange period for each other process: it limits a process to 100 exchanges a second,
 /// which take under a hundredth of a core.
 const EXCHANGE_PERIOD_PER_PEER: Duration = Duration::from_millis(10);
-/// Number of exchanges with the same process of which one sends all rows; the others send only the
-/// sender's own row.
+/// One in so many exchanges with the same process sends all rows; the others send only the sender's own
+/// row.
 const EXCHANGES_PER_FULL_EXCHANGE: u64 = 20;
-/// Age, in exchange periods, from which on a row is stale.
+/// Number of exchange periods after which a row is stale.
 const STALE_ROW_PERIODS: u32 = 10;
 
 /// Returns the time between two exchanges of rows with the same process, where `others` processes are
@@ -117,7 +117,7 @@
     pub rollouts: Vec<PeerRollout>,
 }
 
-/// Another entry process.
+/// What this process knows of another entry process.
 #[derive(Clone, Debug)]
 struct Peer {
     /// The newest row of the process; empty but for the address before the first one is received.
@@ -214,8 +214,8 @@
         self.peers.get(&address).is_some_and(|peer| self.has_current_row(peer, now))
     }
 
-    /// Returns the number of active processes. One that wasn't seen for as long as `peer_timeout` can't take
-    /// requests with a key any more.
+    /// Returns the number of active processes. A process that wasn't seen for `peer_timeout` accepts no
+    /// requests with an API key (see [`Settings::peer_timeout`](super::Settings::peer_timeout)).
     pub fn active_count(&self, now: Instant, peer_timeout: Duration) -> usize {
         self.active(now, peer_timeout).count()
     }
--- a/components/scheduler/src/direct/pending.rs
+++ b/components/scheduler/src/direct/pending.rs
@@ -154,7 +154,7 @@
     /// Time from which the request may make one more reservation at an agent.
     pub next_reservation_at: Instant,
     /// Whether the request was selected for the ordered version of a rollout; `None` until the request is
-    /// first considered for a slot, `Some(false)` from its first dispatch on.
+    /// first considered for a slot, `Some(false)` again once it is promoted or dispatched.
     pub is_selected_for_rollout: Option<bool>,
     /// Current stage of the request.
     pub stage: Stage,
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Returns the token counts of the request; those of the answer are the caller's expectation where it
-    /// stated one, else the maximum. Counts that the caller didn't state are 0.
+    /// Returns the token counts of the request. `max_output` is the number of tokens that the caller expects
+    /// or, if it gave no hint, the maximum that it stated. Counts that the caller didn't state are 0.
     pub fn tokens(&self) -> Tokens {
         let tokens = self.request.tokens.unwrap_or_default();
         let max_output = self.request.expected_tokens.unwrap_or(tokens.max_output);
--- a/components/scheduler/src/direct/queue.rs
+++ b/components/scheduler/src/direct/queue.rs
@@ -16,7 +16,8 @@
 };
 
 impl State {
-    /// Adds a request to the queue of its stage and sets its timer. Does nothing where the request has ended.
+    /// Adds a request to the queue of its account or of its pool, whichever it waits in, and sets its timer.
+    /// Does nothing where the request has ended.
     pub(super) fn enqueue(&mut self, ticket: Ticket) {
         if let Some(pending) = self.requests.get(&ticket) {
             let queue = match (&pending.stage, &pending.account) {
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Handles all timers that are due. A request that holds a slot at a second target releases it; a waiting
-    /// request is promoted; a request in flight stops its search for another target; any other request is
-    /// refused.
+    /// Handles all timers that are due. A request that holds a slot at a second target releases it; a request
+    /// whose wait isn't over is promoted; a request in flight stops its search for another target; any other
+    /// request is refused.
     pub(super) fn handle_due_timers(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         while let Some(&(at, ticket)) = self.timers.first().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, ticket));
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -12,7 +12,7 @@
 };
 
 impl State {
-    /// Handles an answer that names its target's rate limit, in requests per second.
+    /// Handles an answer that states its target's rate limit, in requests per second.
     pub(super) fn handle_rate_limit(
         &mut self,
         now: Instant,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Handles an answer that names no rate limit, to a request that was dispatched at `dispatched`.
+    /// Handles an answer that states no rate limit, to a request that was dispatched at
+    /// `dispatched`.
     pub(super) fn handle_no_rate_limit(
         &mut self,
         now: Instant,
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -9,9 +9,9 @@
 //! A process runs one fetch of each topic at a time. If every process that is ahead sent the data with
 //! each exchange, the copies would fill a narrow link, time out unfinished and start again.
 //!
-//! Each process proves by its own reads that its configuration is current; relayed data proves nothing.
-//! A process that can't reach the platform's service isn't expected to serve requests with a key, and
-//! those that it served would take capacity from processes that are.
+//! Each process proves by its own reads that its configuration is current; relayed data proves nothing. A
+//! process that can't reach the platform's service isn't expected to serve requests with an API key, and
+//! the requests that it served would take capacity from processes that are expected to.
 
 use std::{
     hash::BuildHasher,
@@ -159,12 +159,12 @@
         Known { plan, targets: self.target_list.position, crashes: self.crashes.digest() }
     }
 
-    /// Returns the offer that this process sends to the others. It leaves out the list of targets just
-    /// after an outage.
+    /// Returns the offer that this process sends to the others. Just after an outage of the platform, the
+    /// offer leaves out the list of targets.
     pub fn offer(&self, now: Now) -> Offer {
         let mut known = self.known();
         if self.is_recovering_from_outage(now.steady) {
-            // Just after an outage the list may lack targets that are alive.
+            // Just after an outage the list may lack targets that are running.
             known.clear(Topic::Targets);
             return Offer { known, answered: None };
         }
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -29,13 +29,13 @@
 const MAX_BOOST_RATIO: f64 = 2.0 / 3.0;
 /// Delay before a request without reservations makes another one; doubles with each reservation that it has.
 const BASE_RESERVATION_DELAY: Duration = Duration::from_millis(40);
-/// Highest value of the first part of a packed rank, the account's rank; it has 2 bits.
+/// Highest value of the account's rank in a packed rank, where the account's rank has 2 bits.
 const MAX_PACKED_ACCOUNT_RANK: u32 = 3;
-/// Highest value of each further part of a packed rank; they have 3 bits each.
+/// Highest value of each of the two other ranks in a packed rank; each has 3 bits.
 const MAX_PACKED_PART: u32 = 7;
 
 /// Returns the rank of a request in its pool's queue as one number, by which agents compare the requests of
-/// all processes. Ranks above the highest value of their part are treated as that value.
+/// all processes. A rank that doesn't fit into its bits is replaced by the highest value that does.
 fn pack_rank(key: &QueueKey) -> Rank {
     let [first, tier, account] = key.ranks;
     let packed = (first.min(MAX_PACKED_ACCOUNT_RANK) << 6)
@@ -177,8 +177,8 @@
     }
 
     /// Handles a reservation that ended without a grant. If the agent can't reach its target, starts a
-    /// backoff from the target; if only the agent is unreachable, from the agent, and the target is meanwhile
-    /// shared by the rows that entry processes exchange.
+    /// backoff from the target. If the agent itself is unreachable, starts a backoff from the agent; until
+    /// that ends, entry processes share the target's slots by the rows that they exchange.
     pub(super) fn handle_denial(
         &mut self,
         now: Instant,
--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -117,7 +117,7 @@
             .min(1.0)
     }
 
-    /// Whether the traffic shift has reached all requests of this process.
+    /// Returns whether the traffic shift has reached all requests of this process.
     fn is_shift_complete(&self, now: Instant) -> bool {
         self.shift_started.is_some() && self.ordered_share(now, 1.0) >= 1.0
     }
@@ -337,7 +337,8 @@
         reports.collect()
     }
 
-    /// Returns the state of each rollout for this process's row; `is_idle` as in [`Rollouts::decide`].
+    /// Returns the state of each rollout for this process's row. `is_idle` returns whether this process has
+    /// no request in flight at targets of versions other than the one of an order.
     pub fn own_rollouts(&self, now: Instant, is_idle: impl Fn(&Order) -> bool) -> Vec<PeerRollout> {
         let rollouts = self.rollouts.values().map(|rollout| PeerRollout {
             order: rollout.order.clone(),
@@ -390,8 +391,8 @@
         }
     }
 
-    /// Returns which targets a request of a pool may go to; `is_chosen` is what [`Rollouts::choose_ordered`]
-    /// returned for it.
+    /// Returns the lane of the targets that a request of a pool may go to; `is_chosen` is the result of
+    /// [`Rollouts::choose_ordered`] for the request.
     pub fn request_lane(&self, now: Instant, pool: &PoolName, is_chosen: bool) -> Lane {
         match self.rollouts.get(pool) {
             Some(rollout)
@@ -425,13 +426,13 @@
         self.rollouts.get(pool).map_or(0, |rollout| rollout.dispatch_totals().1)
     }
 
-    /// Whether any rollout is still running.
+    /// Returns whether any rollout is still running.
     pub fn has_running(&self) -> bool {
         self.rollouts.values().any(Rollout::is_active)
     }
 
-    /// Returns which requests each listed target of a pool takes; `targets` holds the version of each and
-    /// whether it is ready. Base versions are those that the pool had first, or the one whose rollout
+    /// Returns the lane of each listed target of a pool; `targets` holds the version of each target and
+    /// whether the target is ready. Base versions are those that the pool had first, or the one whose rollout
     /// completed last. If no listed target runs one of them, all listed versions except the latest ordered
     /// one become base versions.
     pub fn target_lanes(
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -13,9 +13,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Log-likelihood ratio from which on a version is judged worse: odds of 100 to 1.
+/// Lowest log-likelihood ratio at which a version is judged worse: odds of 100 to 1.
 const BAD_LOG_RATIO: f64 = 4.6;
-/// Log-likelihood ratio over all routes up to which a version is judged good: odds of 100 to 1.
+/// Highest log-likelihood ratio over all routes at which a version is judged good: odds of 100 to 1.
 const GOOD_LOG_RATIO: f64 = -4.6;
 /// Log-likelihood ratio that a version judged good must not exceed on any single route: odds of 10 to 1.
 const GOOD_ROUTE_LOG_RATIO: f64 = -2.3;
@@ -33,11 +33,11 @@
 const MAX_BAD_FRACTION: f64 = 0.9;
 /// Factor to the base version's mean time above which an answer is slow.
 const SLOW_FACTOR: f64 = 2.0;
-/// Answers of the base version after which its mean times are used.
+/// Number of answers of the base version on a route from which its mean times are used.
 const MIN_BASELINE_ANSWERS: u64 = 5;
 /// Smallest weight of the newest answer in the mean times of the base version.
 const MIN_NEWEST_WEIGHT: f64 = 0.05;
-/// Events of a stream after the first one, from which on the time between events is measured.
+/// Minimum number of events after the first one of a stream for which the time between events is measured.
 const MIN_PACED_EVENTS: u32 = 3;
 
 /// Number of answers of a version on a route, by how they were judged.
@@ -51,7 +51,7 @@
     pub slow: u64,
 }
 
-/// How a request was answered.
+/// Answer to a dispatch, with the measurements by which it is judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// The answer was a failure, or didn't arrive completely.
@@ -68,11 +68,11 @@
 /// Result of comparing the ordered version with the base version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Judgement {
-    /// The ordered version is worse.
+    /// The ordered version is worse than the base version.
     Bad,
-    /// The ordered version is as good.
+    /// The ordered version is at least as good as the base version.
     Good,
-    /// There is too little evidence for either.
+    /// There is too little evidence to judge.
     Inconclusive,
 }
 
@@ -86,11 +86,11 @@
 /// Usual times of the base version on a route: moving averages of natural logarithms of seconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Baseline {
-    /// Answers in `log_first`.
+    /// Number of answers that `log_first` is the average of.
     answers: u64,
     /// Average of the time to the first event for each token that was read.
     log_first: f64,
-    /// Answers in `log_pace`.
+    /// Number of answers that `log_pace` is the average of.
     paced_answers: u64,
     /// Average of the time between two events of a stream.
     log_pace: f64,
--- a/components/scheduler/src/direct/versions.rs
+++ b/components/scheduler/src/direct/versions.rs
@@ -1,4 +1,5 @@
-//! Effects of rollouts on requests and targets.
+//! Connects rollouts to the rest of the reducer's state: which targets accept which requests, the evidence
+//! that dispatches add, and the reports.
 
 use std::time::{Duration, Instant};
 
@@ -75,7 +76,8 @@
             PeerStates { is_half_fresh, are_all_shifted }
         };
         let steps = self.rollouts.decide(now, peers, |order| is_idle(&self.capacity, order));
-        // The share of requests that go to the new version grows with time, also without a step.
+        // The share of requests that goes to the ordered version grows with time, also without a step, so
+        // the lanes are recomputed.
         self.assign_lanes(now);
         effects.extend(steps.into_iter().map(rollout_log_entry));
     }
@@ -86,7 +88,8 @@
         self.peers.current_count(now, peer_timeout) * 2 < self.peers.active_count(now, peer_timeout)
     }
 
-    /// Reassigns to each target whether it gets requests, and those of which version.
+    /// Recomputes the lane of each target: whether it accepts requests for a base version, for the ordered
+    /// version, or none.
     pub(super) fn assign_lanes(&mut self, now: Instant) {
         let rollouts = &mut self.rollouts;
         self.capacity.assign_lanes(|pool, targets| rollouts.target_lanes(now, pool, targets));
--- a/components/scheduler/src/direct/world.rs
+++ b/components/scheduler/src/direct/world.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Returns whether live targets may be missing in a list that is read now, since an outage just ended.
+    /// Returns whether an outage of the platform ended so recently that the platform's list may still lack
+    /// running targets.
     pub(super) fn is_recovering_from_outage(&self, now: Instant) -> bool {
         self.outage_ended.is_some_and(|at| now.duration_since(at) < RELISTING_TIME)
     }
--- a/components/scheduler/src/entry/seek.rs
+++ b/components/scheduler/src/entry/seek.rs
@@ -207,7 +207,8 @@
             .insert(name, TargetHints { shed, down_until: None, last_reply: Some(now) });
     }
 
-    /// Starts the backoff of the target of a reservation, whose agent is unreachable.
+    /// Starts the backoff of the target at which a reservation was requested, since the target's
+    /// agent is unreachable.
     pub(super) fn mark_down(&mut self, now: Instant, id: Id) {
         if let Some(target) = self.reserved_target(id) {
             self.target_hints.entry(target).or_default().down_until = Some(now + DOWN_BACKOFF);
--- a/components/scheduler/src/limit.rs
+++ b/components/scheduler/src/limit.rs
@@ -8,8 +8,8 @@
 
 use model::resource::Limit;
 
-/// Time whose requests, at the account's rate, may start at once; where that is less than one request, one
-/// may.
+/// Size of a permitted burst, as the time in which the account's rate allows as many requests. A burst of
+/// one request is always permitted.
 const BURST: Duration = Duration::from_secs(1);
 /// Retry delay given to a caller that the concurrency limit rejects.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(250);
--- a/components/scheduler/src/rate.rs
+++ b/components/scheduler/src/rate.rs
@@ -13,15 +13,16 @@
 /// the answer to an earlier request may predate the limit.
 const LIFT_DELAY: Duration = Duration::from_secs(1);
 
-/// Time whose requests, at the limit's rate, may be sent at once, since requests arrive in bursts.
+/// Size of a permitted burst, as the time in which the rate limit allows as many requests: requests arrive
+/// in bursts.
 const BURST: Duration = Duration::from_millis(250);
 
-/// The latest information on a target's rate limit.
+/// Rate limit of a target, as the latest answer of the target stated it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct News {
     /// Mean interval between two requests; `None` where the limit is lifted.
     pub interval: Option<Duration>,
-    /// When the answer that showed this arrived.
+    /// When the answer that stated the limit, or showed that it is lifted, arrived.
     pub at: Instant,
 }
 
