--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -15,7 +15,7 @@
 
 use crate::relay::{self, Fetched};
 
-/// Logs an effect that the reducer returned, unless the effect is logged elsewhere or not at all.
+/// Logs an effect that the reducer returned, unless effects of its kind are logged elsewhere or not at all.
 pub fn log_effect(state: &State, at: Now, effect: &Effect) {
     let now = at.steady;
     match effect {
--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -46,7 +46,7 @@
     /// Incarnation of this agent; [`Event::Rejoin`] replaces it.
     pub incarnation: IncarnationId,
     /// Number of stored claims at which no further key is granted; also the maximum number of keys
-    /// that are fenced one by one.
+    /// with a fence of their own.
     pub claims: usize,
 }
 
@@ -362,13 +362,14 @@
         }
     }
 
-    /// Stores a mark for the whole of [`RETENTION`].
+    /// Stores the mark of a key for [`RETENTION`] from now on.
     fn store(&mut self, now: Instant, key: ClaimKey, mark: Mark) {
         self.table.set(now, key, mark);
         self.handover.mark_changed(key);
     }
 
-    /// Changes the mark of a stored claim, which keeps its expiry time.
+    /// Changes the mark of a stored claim (whether the key is free, held or its request ran); the
+    /// claim keeps its expiry time.
     fn update(&mut self, key: ClaimKey, mark: Mark) {
         self.table.update(key, mark);
         self.handover.mark_changed(key);
--- a/components/scheduler/src/direct/capacity/agents.rs
+++ b/components/scheduler/src/direct/capacity/agents.rs
@@ -18,9 +18,9 @@
 const MAX_AGENT_BACKOFF: Duration = Duration::from_secs(4);
 /// Time after which an agent's load report counts half: about as long as a request holds its slot.
 const AGENT_LOAD_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Requests that an assigned agent (one of another target) admits to a target beyond its slots, as a part of
-/// the slots. They keep the slots busy during the round trip between the end of a request and the next
-/// grant.
+/// Number of requests that an assigned agent (the agent of another target) admits to a target beyond the
+/// target's slots, as a part of the slots. These requests keep the slots busy during the round trip between
+/// the end of a request and the next grant.
 const ASSIGNED_AGENT_EXTRA_SLOTS_RATIO: f64 = 0.5;
 /// Largest random addition to a target's cost, as a part of the cost. Without it all processes would choose
 /// the same one of several targets with similar costs.
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -19,7 +19,8 @@
 const GOOD_LOG_RATIO: f64 = -4.6;
 /// Log-likelihood ratio that a version judged good must not exceed on any single route: odds of 10 to 1.
 const GOOD_ROUTE_LOG_RATIO: f64 = -2.3;
-/// Fraction of the base version's answers above which a route must be judged good on its own.
+/// A route is also judged on its own if it has more than this fraction of the base version's answers over all
+/// routes.
 const MIN_ROUTE_FRACTION: f64 = 0.03;
 /// A worse version is assumed to have [`WORSE_FACTOR`] times the base version's fraction of bad answers,
 /// plus this fraction of all answers.
--- a/components/scheduler/src/entry/leave.rs
+++ b/components/scheduler/src/entry/leave.rs
@@ -1,5 +1,5 @@
-//! Targets that are leaving, by the configuration or by the platform's list of hosts. They get no
-//! new requests.
+//! Targets that are leaving according to the configuration or the platform's list of hosts. They
+//! get no new requests.
 
 use std::{collections::BTreeSet, time::Instant};
 
--- a/components/scheduler/src/entry/lost.rs
+++ b/components/scheduler/src/entry/lost.rs
@@ -1,4 +1,4 @@
-//! Removal of agents from the membership whose hosts have disappeared from the platform's list of
+//! Removes an agent from the membership if its host has disappeared from the platform's list of
 //! hosts: such an agent can't append the record of its own leave.
 
 use std::{
