--- a/components/scheduler/src/entry/seek.rs
+++ b/components/scheduler/src/entry/seek.rs
@@ -207,7 +207,8 @@
             .insert(name, TargetHints { shed, down_until: None, last_reply: Some(now) });
     }
 
-    /// Starts the backoff of the target of a reservation, whose agent is unreachable.
+    /// Starts the backoff of the target at which a reservation was requested, since the target's
+    /// agent is unreachable.
     pub(super) fn mark_down(&mut self, now: Instant, id: Id) {
         if let Some(target) = self.reserved_target(id) {
             self.target_hints.entry(target).or_default().down_until = Some(now + DOWN_BACKOFF);
@@ -257,9 +258,10 @@
     }
 }
 
-/// Returns the key that determines the order of targets for a request. Requests whose prompts
-/// share their first `SHARED_BLOCKS` blocks share the key, and so do all requests with the same
-/// suspected body; a request without a prompt prefix has a key of its own.
+/// Returns the key that determines the order of targets for a request. Requests whose prompts share
+/// their first `SHARED_BLOCKS` blocks share the key, and so do all requests with the same body if
+/// that body is suspected of crashing engines; a request without a prompt prefix has a key of its
+/// own.
 fn placement_key(pending: &Pending) -> BlockHash {
     if pending.runs_alone {
         return u128::from_le_bytes(pending.request.fingerprint) as BlockHash;
