--- a/components/api/src/body.rs
+++ b/components/api/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads a resource from a request's body, with every finding at once.
+//! Parses a resource from the body of a request and reports all findings of the body together.
 
 use garde::Validate;
 use model::{
@@ -9,8 +9,9 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Reads the resource that a path names.
-pub fn read(key: &Key, body: &[u8]) -> Result<Resource, Vec<Finding>> {
+/// Parses the body of a request for the resource `key`, which the request's path names. The name in
+/// the body must equal the name in the path.
+pub fn read_named(key: &Key, body: &[u8]) -> Result<Resource, Vec<Finding>> {
     let resource = read_kind(key.kind, body)?;
     let name = resource.key().name;
     if name != key.name {
@@ -20,30 +21,33 @@
     Ok(resource)
 }
 
-/// Reads a resource of a kind.
+/// Parses a resource of a kind from JSON. The field `kind` of the body may be absent.
 pub fn read_kind(kind: Kind, body: &[u8]) -> Result<Resource, Vec<Finding>> {
-    let mut value: Value = serde_json::from_slice(body).map_err(|error| vec![syntax(&error)])?;
-    check_kind(kind, &mut value)?;
+    let mut value: Value =
+        serde_json::from_slice(body).map_err(|error| vec![syntax_finding(&error)])?;
+    remove_kind(kind, &mut value)?;
     let read = match kind {
         Kind::Account => check::<Account>(value).map(Resource::Account),
         Kind::Tier => check::<Tier>(value).map(Resource::Tier),
         Kind::Pool => check::<Pool>(value).map(Resource::Pool),
         Kind::Target => check::<Target>(value).map(Resource::Target),
     };
-    read.map_err(in_body)
+    read.map_err(prefix_with_body)
 }
 
-/// Puts findings of the fold below the body.
-pub fn in_body(findings: Vec<Finding>) -> Vec<Finding> {
-    let place = |found: Finding| {
+/// Prefixes the places of findings about a resource (`$.name`) with `body` (`body.name`), because
+/// the resource is the body of the operator's request.
+pub fn prefix_with_body(findings: Vec<Finding>) -> Vec<Finding> {
+    let prefixed = |found: Finding| {
         let path = found.place.trim_start_matches('$').trim_start_matches('.');
         Finding::new(finding::place("body", path), found.message)
     };
-    findings.into_iter().map(place).collect()
+    findings.into_iter().map(prefixed).collect()
 }
 
-/// Takes the kind out of the body; it may be left out, but not differ from the path's.
-fn check_kind(kind: Kind, value: &mut Value) -> Result<(), Vec<Finding>> {
+/// Removes the field `kind` from the body and checks it: it may be absent, but must not differ from
+/// the kind in the path.
+fn remove_kind(kind: Kind, value: &mut Value) -> Result<(), Vec<Finding>> {
     let Some(given) = value.as_object_mut().and_then(|fields| fields.remove("kind")) else {
         return Ok(());
     };
@@ -61,7 +65,7 @@
     settings::check_value(value)
 }
 
-fn syntax(error: &serde_json::Error) -> Finding {
+fn syntax_finding(error: &serde_json::Error) -> Finding {
     let place = format!("body, line {}, column {}", error.line(), error.column());
     Finding::new(place, format!("not JSON: {error}"))
 }
--- a/components/api/src/fault.rs
+++ b/components/api/src/fault.rs
@@ -1,4 +1,4 @@
-//! What an operator is told when a call fails.
+//! Error responses of the operators' API, and the authentication of operators.
 
 use std::{fmt, sync::Arc};
 
@@ -13,54 +13,59 @@
 
 use crate::{Context, view::Item};
 
-/// Why a call failed.
+/// Reason of a failed call, for programs that read the response.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The input is at fault; the findings say where.
+    /// The input is invalid; `findings` lists its faults and their places.
     BadInput,
-    /// The key isn't an operator's.
+    /// The request has no key, or its key belongs to no operator.
     Unauthorized,
-    /// There is no such resource.
+    /// The resource doesn't exist.
     NotFound,
-    /// Another version stands than was expected; nothing was changed.
+    /// The current version of the resource isn't the expected one; nothing was changed.
     Conflict,
-    /// The offset is too old for a watch: list again.
+    /// The server no longer keeps the changes from the requested offset on: list the resources
+    /// again.
     Gone,
-    /// The platform's log can't be reached or takes nothing; nothing was changed.
+    /// The process is stopping, or the platform's log is unreachable or rejects appends; nothing
+    /// was changed.
     Unavailable,
-    /// The change may have been accepted: repeat it with the same change id.
+    /// It isn't known whether the change was accepted: repeat it with the same change id.
     Unknown,
-    /// The change is accepted, but not known to be in force everywhere yet.
+    /// The change was accepted, but it isn't known yet whether all processes have applied it.
     NotInForce,
 }
 
-/// Everything that an operator is told about a failed call.
+/// Error response to a failed call.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Failure {
-    /// Why.
+    /// Reason of the failure.
     pub reason: Reason,
-    /// One sentence for a person.
+    /// Explanation for a human reader.
     pub message: String,
-    /// Faults with their places; empty unless the input is at fault.
+    /// Faults of the input with their places; empty unless the reason is `bad_input`.
     #[serde(default)]
     pub findings: Vec<Finding>,
-    /// The version that stands, where there is a conflict; 0 means that none does.
+    /// Current version of the resource; present on a conflict only. 0 means that the resource
+    /// doesn't exist.
     #[serde(default)]
     pub version: Option<Offset>,
-    /// The resource that stands, where there is a conflict and one does.
+    /// Current state of the resource; present on a conflict only, if the resource exists.
     #[serde(default)]
     pub stands: Option<Item>,
-    /// The change id to repeat, or that was accepted.
+    /// Id of the requested change, if the request made one. Where the change may have been
+    /// accepted, a repeat must use this id.
     #[serde(default)]
     pub change: Option<ChangeId>,
-    /// The change's offset where it is known, or the first that a watch can start from.
+    /// Offset of the change, if it is known; for a watch, the first offset that a watch can start
+    /// from.
     #[serde(default)]
     pub offset: Option<Offset>,
 }
 
 impl Failure {
-    /// A failure with a reason and a sentence only.
+    /// Returns a failure that has a reason and a message, and no other details.
     pub fn new(reason: Reason, message: impl Into<String>) -> Failure {
         Failure {
             reason,
@@ -73,24 +78,25 @@
         }
     }
 
-    /// A failure by faulty input.
+    /// Returns a failure for invalid input.
     pub fn bad_input(findings: Vec<Finding>) -> Failure {
         let message = format!("{} finding(s)", findings.len());
         Failure { findings, ..Failure::new(Reason::BadInput, message) }
     }
 
-    /// A failure of a process that is stopping.
+    /// Returns the failure of a call to a process that is stopping.
     pub fn stopping() -> Failure {
         Failure::new(Reason::Unavailable, "this process is stopping; ask another one")
     }
 }
 
-/// A failure as an HTTP answer.
+/// HTTP error response with a failure as its JSON body.
 #[derive(Debug, JsonSchema, Serialize)]
 pub struct Fault {
-    /// What the operator is told.
+    /// The failure.
     pub error: Box<Failure>,
-    /// Status of faults that the HTTP library finds itself.
+    /// Status of an error that the HTTP library detected; `None` where the reason determines the
+    /// status.
     #[serde(skip)]
     status: Option<ErrorStatusCode>,
 }
@@ -116,12 +122,12 @@
 
 impl HttpResponseError for Fault {
     fn status_code(&self) -> ErrorStatusCode {
-        let own = || ErrorStatusCode::from_status(status(self.error.reason));
-        self.status.or_else(|| own().ok()).unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
+        let from_reason = || ErrorStatusCode::from_status(status_of(self.error.reason));
+        self.status.or_else(|| from_reason().ok()).unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
     }
 }
 
-/// Gives the operator whose key a request carries.
+/// Returns the name of the operator whose key a request carries, or an error if there is none.
 pub fn authenticate(context: &RequestContext<Arc<Context>>) -> Result<String, Fault> {
     let header = context.request.headers().get(header::AUTHORIZATION);
     let hash = credential::bearer(header.and_then(|value| value.to_str().ok()));
@@ -134,7 +140,7 @@
     }
 }
 
-fn status(reason: Reason) -> StatusCode {
+fn status_of(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadInput => StatusCode::BAD_REQUEST,
         Reason::Unauthorized => StatusCode::UNAUTHORIZED,
--- a/components/api/src/history.rs
+++ b/components/api/src/history.rs
@@ -1,4 +1,4 @@
-//! Recent changes of the configuration, for watches.
+//! Ring buffer of recently accepted changes of the configuration, from which watches are served.
 
 use std::{
     collections::VecDeque,
@@ -10,14 +10,15 @@
 
 use crate::view::Event;
 
-/// Accepted changes that are kept for watches.
-pub const CHANGES: usize = 4_096;
+/// Limit on the accepted changes that are kept for watches; beyond it the oldest is dropped.
+pub const CHANGE_LIMIT: usize = 4_096;
 
 #[derive(Debug, Default)]
-struct Kept {
-    /// Highest offset that isn't covered: all accepted changes after it are in `changes`.
+struct Ring {
+    /// Highest offset whose change may be missing here: `changes` holds all accepted changes after
+    /// it.
     floor: Offset,
-    /// Accepted changes in the order of their offsets; at most [`CHANGES`].
+    /// Accepted changes in the order of their offsets; at most [`CHANGE_LIMIT`].
     changes: VecDeque<Change>,
 }
 
@@ -27,14 +28,15 @@
     action: Action,
 }
 
-/// A bounded ring of accepted changes; may be used from any thread.
+/// Recently accepted changes in bounded memory; may be used from any thread.
 #[derive(Debug, Default)]
 pub struct History {
-    kept: Mutex<Kept>,
+    ring: Mutex<Ring>,
 }
 
 impl History {
-    /// Adds what the fold did with the next record.
+    /// Adds the change of the next applied record of the log; a change that wasn't accepted is
+    /// ignored.
     pub fn push(&self, step: Step) {
         let Some(action) = step.action else {
             return;
@@ -42,43 +44,45 @@
         if step.outcome != Outcome::Accepted(step.offset) {
             return;
         }
-        let mut kept = self.lock();
-        kept.changes.push_back(Change { offset: step.offset, action });
-        if kept.changes.len() > CHANGES
-            && let Some(oldest) = kept.changes.pop_front()
+        let mut ring = self.lock();
+        ring.changes.push_back(Change { offset: step.offset, action });
+        if ring.changes.len() > CHANGE_LIMIT
+            && let Some(oldest) = ring.changes.pop_front()
         {
-            kept.floor = oldest.offset;
+            ring.floor = oldest.offset;
         }
     }
 
-    /// Starts anew after a snapshot: what led up to it isn't known.
+    /// Drops all changes after a snapshot with the offset `applied` was loaded: a snapshot doesn't
+    /// contain the changes that led to it, so watches can only start after its offset.
     pub fn reset(&self, applied: Offset) {
-        *self.lock() = Kept { floor: applied, changes: VecDeque::new() };
+        *self.lock() = Ring { floor: applied, changes: VecDeque::new() };
     }
 
-    /// First offset that a watch can start from.
+    /// Returns the first offset that a watch can start from.
     pub fn first(&self) -> Offset {
         self.lock().floor + 1
     }
 
-    /// Changes from one offset up to another, of one kind or of all; `None` where they are gone.
+    /// Returns the changes with the offsets `from` to `to` (both included), of one kind or, for
+    /// `None`, of all kinds. Returns `None` where some of these changes are no longer kept.
     pub fn range(&self, from: Offset, to: Offset, kind: Option<Kind>) -> Option<Vec<Event>> {
-        let kept = self.lock();
-        if from <= kept.floor {
+        let ring = self.lock();
+        if from <= ring.floor {
             return None;
         }
-        let start = kept.changes.partition_point(|change| change.offset < from);
-        let changes = kept.changes.range(start..).take_while(|change| change.offset <= to);
+        let start = ring.changes.partition_point(|change| change.offset < from);
+        let changes = ring.changes.range(start..).take_while(|change| change.offset <= to);
         let wanted = changes.filter(|c| kind.is_none_or(|kind| c.action.key().kind == kind));
-        Some(wanted.map(event).collect())
+        Some(wanted.map(to_event).collect())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Ring> {
+        self.ring.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn event(change: &Change) -> Event {
+fn to_event(change: &Change) -> Event {
     let offset = change.offset;
     match &change.action {
         Action::Put(resource) => Event::Put { offset, resource: resource.clone() },
--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' server of an entry process: health, metrics, resources, watches and status.
+//! HTTP server for operators in an entry process: health, metrics, resources, watches and status.
 
 mod body;
 mod fault;
@@ -23,79 +23,83 @@
 pub use history::History;
 pub use view::{Event, Item, Page, Status, Wait, Written};
 
-/// Something that is run on the configuration in force.
+/// Closure that reads the configuration state on the thread that owns the state.
 pub type Question = Box<dyn FnOnce(&config::State) + Send>;
 
-/// What the server asks of the process around it.
+/// Functions and data of the surrounding process that the server uses.
 pub struct Context {
-    /// Who may use the resource API.
+    /// Operators that may use the resource API.
     pub operators: Vec<settings::Operator>,
     /// Name of this process.
     pub process: String,
-    /// Whether the balancer should send requests here.
+    /// Returns whether the load balancer should send requests to this process.
     pub ready: Box<dyn Fn() -> bool + Send + Sync>,
-    /// Gives all metrics as text.
+    /// Returns all metrics in the text format of Prometheus.
     pub metrics: Box<dyn Fn() -> String + Send + Sync>,
-    /// Runs a question on the thread that owns the configuration.
+    /// Runs a closure on the thread that owns the configuration. A process that is stopping drops
+    /// the closure.
     pub inspect: Box<dyn Fn(Question) + Send + Sync>,
-    /// Gathers what live processes have applied.
+    /// Collects from the agents which offsets the live processes have applied.
     pub presence: Box<dyn Fn() -> BoxFuture<'static, Presence> + Send + Sync>,
-    /// Offset in force here.
+    /// Highest offset of the configuration log that this process has applied.
     pub applied: channel::Receiver<Offset>,
-    /// Recent changes, for watches.
+    /// Recently accepted changes, from which watches are served.
     pub history: Arc<History>,
-    /// The platform's log.
+    /// Client of the platform's log.
     pub log: source::log::Client,
 }
 
-/// What live processes have applied, as far as they could be asked.
+/// Offsets that the live processes have applied, as far as the agents that keep their reports
+/// answered.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Presence {
-    /// What they reported.
+    /// Summary of the reports of all live processes.
     pub reported: Summary,
-    /// Agents that keep reports and didn't answer.
+    /// Number of agents that keep reports and didn't answer.
     pub silent: u32,
-    /// Hosts that the platform's list shows; a host without a report may be behind.
+    /// Number of hosts in the platform's list, or 0 where the list is empty or unknown. Processes
+    /// on a listed host without a report may have applied less than the reported offsets.
     pub listed: u32,
 }
 
 impl Context {
-    /// Asks something of the configuration in force; `None` where the process is stopping.
-    async fn ask<T: Send + 'static>(
+    /// Runs a closure on the configuration state and returns its result; `None` if the process is
+    /// stopping.
+    async fn query_config<T: Send + 'static>(
         &self,
         question: impl FnOnce(&config::State) -> T + Send + 'static,
     ) -> Option<T> {
         let (sender, answer) = oneshot::channel();
         (self.inspect)(Box::new(move |state| {
-            // Whoever asked may have gone, and needs no answer then.
+            // The caller may have been cancelled; then nobody needs the result.
             let _ = sender.send(question(state));
         }));
         answer.await.ok()
     }
 }
 
-/// Starts the server.
+/// Starts the server on an address; port 0 selects a free port.
 pub fn spawn(
     address: SocketAddr,
     context: Context,
 ) -> Result<HttpServer<Arc<Context>>, BuildError> {
     let config = ConfigDropshot { bind_address: address, ..ConfigDropshot::default() };
-    let server = ServerBuilder::new(describe(), Arc::new(context), metrics::log::slog());
+    let server = ServerBuilder::new(api_description(), Arc::new(context), metrics::log::slog());
     server.config(config).start()
 }
 
-/// The OpenAPI document of the server, as JSON that ends in a newline.
+/// Returns the OpenAPI document of the server as JSON that ends in a newline.
 pub fn document() -> String {
     let version = semver::Version::new(1, 0, 0);
     let mut text = Vec::new();
-    let api = describe();
+    let api = api_description();
     let document = api.openapi("wagtailhill operators' API", version);
     document.write(&mut text).expect("the document is JSON");
     text.push(b'\n');
     String::from_utf8(text).expect("JSON is UTF-8")
 }
 
-fn describe() -> ApiDescription<Arc<Context>> {
+fn api_description() -> ApiDescription<Arc<Context>> {
     let mut api = ApiDescription::new();
     health::register(&mut api);
     resource::register(&mut api);
--- a/components/api/src/status.rs
+++ b/components/api/src/status.rs
@@ -1,4 +1,4 @@
-//! How far the configuration has come.
+//! Status endpoint: which offsets of the configuration log the live processes have applied.
 
 use std::sync::Arc;
 
@@ -11,19 +11,19 @@
     view::Status,
 };
 
-/// Adds the endpoint.
+/// Registers the endpoint of this module.
 pub fn register(api: &mut ApiDescription<Arc<Context>>) {
     api.register(status).expect("the path is free");
 }
 
-/// Tells how far the configuration has come, here and in all live processes.
+/// Returns which offset of the configuration this process and all live processes have applied.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn status(context: RequestContext<Arc<Context>>) -> Result<HttpResponseOk<Status>, Fault> {
     authenticate(&context)?;
     Ok(HttpResponseOk(gather(context.context()).await))
 }
 
-/// Gathers what live processes have applied.
+/// Collects the status from the reports of the live processes.
 pub async fn gather(context: &Context) -> Status {
     let applied = *context.applied.borrow();
     let presence = (context.presence)().await;
@@ -43,8 +43,9 @@
     }
 }
 
-/// Whether nobody can be behind unseen. Where the platform lists the hosts, each has to have
-/// reported, to whichever agent; where it lists none, each agent that keeps reports has to answer.
+/// Returns whether the reports cover all live processes. Where the platform lists hosts, each of
+/// them must have reported to some agent; where it lists none, all agents that keep reports must
+/// have answered.
 fn is_complete(presence: &Presence) -> bool {
     match presence.listed {
         0 => presence.silent == 0,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Whether every live process has applied an offset.
+/// Returns whether all live processes are known to have applied an offset.
 pub async fn is_in_force(context: &Context, offset: Offset) -> bool {
     gather(context).await.in_force.is_some_and(|lowest| lowest >= offset)
 }
--- a/components/api/src/view.rs
+++ b/components/api/src/view.rs
@@ -1,4 +1,4 @@
-//! What the operators' API gives and takes.
+//! JSON types of the requests and responses of the operators' API.
 
 use model::{
     Resource,
@@ -10,10 +10,10 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A resource with the version that stands.
+/// A resource and its current version.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Item {
-    /// Offset of its last accepted change.
+    /// Offset of the last accepted change of the resource.
     pub version: Offset,
     /// The resource.
     pub resource: Resource,
@@ -25,87 +25,90 @@
     }
 }
 
-/// A part of a list.
+/// One page of a list of resources.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Page {
-    /// Offset that the part is as of; a watch from the next one misses nothing.
+    /// Offset of the last change that the page reflects; a watch from the next offset on misses no
+    /// change.
     pub offset: Offset,
-    /// Resources in the order of their names.
+    /// Resources of the page in the order of their names.
     pub items: Vec<Item>,
-    /// Name to list on `after`; absent at the end.
+    /// Value of the query parameter `after` for the next page; absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
 }
 
-/// How long a write waits for its answer.
+/// Condition that a write waits for before it returns.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wait {
-    /// Until the change was read back as accepted.
+    /// This process has read the change back from the log as accepted.
     #[default]
     Accepted,
-    /// Until every live process has applied it.
+    /// All live processes have applied the change.
     InForce,
 }
 
-/// A change that was accepted.
+/// Response to a write whose change was accepted.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Written {
-    /// The change; a repeat with this id has no second effect.
+    /// Id of the change; a repeat with this id has no second effect.
     pub change: ChangeId,
-    /// Offset at which it was accepted: the resource's version.
+    /// Offset of the accepted change, which is the new version of the resource.
     pub version: Offset,
-    /// How far it is known to have come.
+    /// Condition that the write waited for and that the change meets.
     pub reached: Wait,
 }
 
-/// How far the configuration has come.
+/// Which offsets of the configuration log the live processes have applied.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 pub struct Status {
-    /// The process that answers.
+    /// Name of the process that sends this response.
     pub process: String,
-    /// Offset in force in it.
+    /// Highest offset that the responding process has applied.
     pub applied: Offset,
-    /// Lowest offset among live processes; absent where somebody may be behind unseen.
+    /// Offset that all live processes have applied; absent where the reports may not cover all of
+    /// them.
     pub in_force: Option<Offset>,
-    /// Highest offset that any process has heard of.
+    /// Highest offset that any process has reported.
     pub highest: Offset,
-    /// Processes that reported.
+    /// Number of processes that reported.
     pub processes: u32,
-    /// Hosts that reported.
+    /// Number of hosts that reported.
     pub hosts: u32,
-    /// Hosts that the platform's list shows as live.
+    /// Number of live hosts in the platform's list; 0 where the list is empty or unknown.
     pub listed: u32,
-    /// Agents that keep reports and didn't answer.
+    /// Number of agents that keep reports and didn't answer.
     pub silent: u32,
-    /// The process that is furthest behind.
+    /// Report with the lowest offset; absent where no process reported.
     pub slowest: Option<Report>,
 }
 
-/// One line of a watch.
+/// One line of the response to a watch.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
 pub enum Event {
     /// A resource was created or replaced.
     Put {
-        /// Offset of the change: the resource's new version.
+        /// Offset of the change, which is the new version of the resource.
         offset: Offset,
-        /// The resource.
+        /// State of the resource after the change.
         resource: Resource,
     },
     /// A resource was deleted.
     Delete {
         /// Offset of the change.
         offset: Offset,
-        /// What names the resource.
+        /// Kind and name of the deleted resource.
         key: Key,
     },
-    /// Nothing up to this offset is missing; resume from the next one.
+    /// All changes up to an offset have been sent; a new watch can resume from the next offset.
     Bookmark {
-        /// The offset.
+        /// Offset up to which all changes have been sent.
         offset: Offset,
     },
-    /// Changes were lost to this watch: list again.
+    /// The server no longer keeps changes that this watch hasn't received, and the watch ends: list
+    /// the resources again.
     Gone {
         /// First offset that a watch can start from.
         first: Offset,
--- a/components/api/src/watch.rs
+++ b/components/api/src/watch.rs
@@ -1,4 +1,4 @@
-//! Streams changes as JSON lines.
+//! Watch endpoint: streams accepted changes as JSON lines.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -19,28 +19,30 @@
     view::Event,
 };
 
-/// Longest time without a line, so that a broken connection is noticed.
-const BOOKMARK: Duration = Duration::from_secs(5);
+/// Longest time without a line. A bookmark is sent after it, so that both ends detect a broken
+/// connection.
+const BOOKMARK_PERIOD: Duration = Duration::from_secs(5);
 
 #[derive(Deserialize, JsonSchema)]
 struct WatchQuery {
-    /// First offset to tell: one more than the last that was seen.
+    /// First offset to stream: one more than the last offset that the client has received.
     from: Offset,
-    /// Tell only changes of this kind.
+    /// Stream only changes of this kind; changes of all kinds by default.
     kind: Option<Kind>,
 }
 
-/// Where a watch is.
+/// Position of a watch in the history.
 struct Cursor {
     context: Arc<Context>,
     kind: Option<Kind>,
-    /// First offset that wasn't told.
+    /// First offset that the watch hasn't streamed yet.
     next: Offset,
-    /// Whether the watch has ended.
-    gone: bool,
+    /// Whether the watch has ended because changes that it hasn't streamed were dropped from the
+    /// history.
+    is_gone: bool,
 }
 
-/// Adds the endpoint.
+/// Registers the endpoint of this module.
 pub fn register(api: &mut ApiDescription<Arc<Context>>) {
     api.register(watch).expect("the path is free");
 }
@@ -63,7 +65,7 @@
         context: Arc::clone(context.context()),
         kind: query.kind,
         next: query.from,
-        gone: false,
+        is_gone: false,
     };
     let answer = Response::builder().header(header::CONTENT_TYPE, "application/x-ndjson");
     let body = Body::wrap(StreamBody::new(lines(cursor)));
@@ -83,19 +85,19 @@
 }
 
 impl Cursor {
-    /// Waits for the next lines; `None` where the watch has ended.
+    /// Waits for the next events; `None` if the watch has ended or the process is stopping.
     async fn read(&mut self) -> Option<Vec<Event>> {
-        if self.gone {
+        if self.is_gone {
             return None;
         }
         let next = self.next;
         let mut applied = self.context.applied.clone();
-        // Running out of time gives a bookmark; the channel closes with the process.
-        let moved = timeout(BOOKMARK, applied.wait_for(|applied| *applied >= next)).await;
-        if matches!(moved, Ok(Err(_))) {
+        // After a timeout only a bookmark is sent. The channel closes when the process stops.
+        let advanced = timeout(BOOKMARK_PERIOD, applied.wait_for(|applied| *applied >= next)).await;
+        if matches!(advanced, Ok(Err(_))) {
             return None;
         }
-        drop(moved);
+        drop(advanced);
         let applied = *applied.borrow();
         Some(self.events(applied))
     }
@@ -103,7 +105,7 @@
     fn events(&mut self, applied: Offset) -> Vec<Event> {
         let next = self.next;
         let Some(mut events) = self.context.history.range(next, applied, self.kind) else {
-            self.gone = true;
+            self.is_gone = true;
             return vec![Event::Gone { first: self.context.history.first() }];
         };
         self.next = next.max(applied + 1);
--- a/components/api/tests/document.rs
+++ b/components/api/tests/document.rs
@@ -1,7 +1,7 @@
-//! The committed OpenAPI document.
+//! Compares the committed OpenAPI document with the one that the server describes.
 
 #[test]
-fn the_committed_document_is_current() {
+fn the_committed_openapi_document_matches_the_server() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/openapi.json");
     let committed = std::fs::read_to_string(path).unwrap();
 
