--- a/components/evidence/src/append.rs
+++ b/components/evidence/src/append.rs
@@ -1,20 +1,21 @@
-//! Appends sealed batches to the platform's log, several to a record.
+//! Appends sealed batches to the platform's log, with several batches in one record.
 
 use source::log;
 
 use crate::batch::{Envelope, Sealed};
 
-/// Most bytes of batches in one record of the stream.
-const ENVELOPE_LIMIT: usize = 256 << 10;
+/// Limit on the bytes of batches in one record of the stream; a record with a single batch may
+/// exceed it.
+const ENVELOPE_BYTES_LIMIT: usize = 256 << 10;
 
-/// Appends batches in their order. After a failure the caller appends all of them again: a batch
-/// that stands twice is no flaw.
+/// Appends batches in their order. After an error the caller appends all of them again: the audit
+/// accepts a batch that the stream contains twice.
 pub async fn append(log: &log::Client, batches: &[Sealed]) -> Result<(), log::Error> {
     let mut envelope = Envelope::default();
     let mut bytes = 0;
     for sealed in batches {
-        if bytes > 0 && bytes + sealed.content.len() > ENVELOPE_LIMIT {
-            send(log, &std::mem::take(&mut envelope)).await?;
+        if bytes > 0 && bytes + sealed.content.len() > ENVELOPE_BYTES_LIMIT {
+            append_envelope(log, &std::mem::take(&mut envelope)).await?;
             bytes = 0;
         }
         bytes += sealed.content.len();
@@ -22,11 +23,11 @@
     }
     match envelope.batches.is_empty() {
         true => Ok(()),
-        false => send(log, &envelope).await,
+        false => append_envelope(log, &envelope).await,
     }
 }
 
-async fn send(log: &log::Client, envelope: &Envelope) -> Result<(), log::Error> {
+async fn append_envelope(log: &log::Client, envelope: &Envelope) -> Result<(), log::Error> {
     let payload = serde_json::to_string(envelope).expect("an envelope is JSON");
     log.append(source::EVIDENCE, &payload).await?;
     Ok(())
--- a/components/evidence/src/audit/corpus.rs
+++ b/components/evidence/src/audit/corpus.rs
@@ -1,4 +1,4 @@
-//! The records of a history, found by what they speak of.
+//! Index of the records of a history by request and by claim.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,63 +10,65 @@
 use super::Place;
 use crate::{
     batch::{Process, Role},
-    history::{Chain, History, Placed, Span},
+    history::{Chain, History, Span, StoredBatch},
     record::{Fact, Record, Request, Run},
 };
 
-/// A record with its place.
+/// A record and its position in the stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen<'a> {
-    /// Whose chain it is in.
+pub struct LocatedRecord<'a> {
+    /// Chain that contains the record.
     pub chain: &'a Chain,
-    placed: &'a Placed,
+    stored: &'a StoredBatch,
     index: usize,
-    /// The record.
+    /// The record itself.
     pub record: &'a Record,
 }
 
-/// A request's record at an entry.
+/// Record that an entry process wrote at the end of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended<'a> {
-    /// Where it stands.
-    pub seen: Seen<'a>,
-    /// What it says.
+pub struct EndedRequest<'a> {
+    /// The record and its position.
+    pub located: LocatedRecord<'a>,
+    /// Content of the record.
     pub request: &'a Request,
 }
 
-impl Ended<'_> {
-    /// Whether its entry dispatched it itself: its runs stand in the same chain.
+impl EndedRequest<'_> {
+    /// Returns whether the entry process dispatched the request straight to targets. The runs of
+    /// such a request are in the same chain.
     pub fn is_direct(&self) -> bool {
-        self.seen.chain.process.role == Role::Direct
+        self.located.chain.process.role == Role::Direct
     }
 }
 
-/// A request's record at an agent.
+/// Record of one run of a request, written by the agent that sent the request to its target, or by
+/// an entry process that dispatches straight to targets.
 #[derive(Clone, Copy, Debug)]
-pub struct Ran<'a> {
-    /// Where it stands.
-    pub seen: Seen<'a>,
-    /// What it says.
+pub struct RecordedRun<'a> {
+    /// The record and its position.
+    pub located: LocatedRecord<'a>,
+    /// Content of the record.
     pub run: &'a Run,
 }
 
-/// All records with their indices.
+/// All records of a history with indexes to find them.
 #[derive(Debug)]
 pub struct Corpus<'a> {
     history: &'a History,
-    /// All records, chain by chain, in the order of each.
-    pub all: Vec<Seen<'a>>,
-    /// Requests' records at entries.
-    pub requests: BTreeMap<RequestId, Vec<Ended<'a>>>,
-    /// Their records at agents.
-    pub runs: BTreeMap<RequestId, Vec<Ran<'a>>>,
-    /// Requests of each claim.
-    pub claims: BTreeMap<ClaimKey, Vec<Ended<'a>>>,
+    /// All records: chain by chain, and within a chain in the order in which they were written.
+    pub all: Vec<LocatedRecord<'a>>,
+    /// Records of entry processes for each request.
+    pub requests: BTreeMap<RequestId, Vec<EndedRequest<'a>>>,
+    /// Records of the runs of each request.
+    pub runs: BTreeMap<RequestId, Vec<RecordedRun<'a>>>,
+    /// Records of entry processes for each claim (the hash of an account and an idempotency key).
+    pub claims: BTreeMap<ClaimKey, Vec<EndedRequest<'a>>>,
 }
 
-/// Indexes a history.
+/// Indexes the records of a history.
 pub fn open(history: &History) -> Corpus<'_> {
-    let all: Vec<Seen<'_>> = history.chains.iter().flat_map(records).collect();
+    let all: Vec<LocatedRecord<'_>> = history.chains.iter().flat_map(records).collect();
     let mut corpus = Corpus {
         history,
         all,
@@ -74,17 +76,17 @@
         runs: BTreeMap::new(),
         claims: BTreeMap::new(),
     };
-    for seen in corpus.all.iter().copied() {
-        match &seen.record.fact {
+    for located in corpus.all.iter().copied() {
+        match &located.record.fact {
             Fact::Request(request) => {
-                let ended = Ended { seen, request };
+                let ended = EndedRequest { located, request };
                 corpus.requests.entry(request.request).or_default().push(ended);
                 if let Some(claim) = request.claim {
                     corpus.claims.entry(claim).or_default().push(ended);
                 }
             }
             Fact::Run(run) => {
-                corpus.runs.entry(run.id.request).or_default().push(Ran { seen, run });
+                corpus.runs.entry(run.id.request).or_default().push(RecordedRun { located, run });
             }
             _ => {}
         }
@@ -93,52 +95,52 @@
 }
 
 impl Corpus<'_> {
-    /// Runs of a request that reached a target, or may have.
-    pub fn dispatched(&self, request: RequestId) -> impl Iterator<Item = &Ran<'_>> {
+    /// Returns the runs of a request that reached or may have reached a target.
+    pub fn dispatched(&self, request: RequestId) -> impl Iterator<Item = &RecordedRun<'_>> {
         let runs = self.runs.get(&request).into_iter().flatten();
-        runs.filter(|ran| ran.run.ran != model::refusal::Ran::NotRun)
+        runs.filter(|recorded| recorded.run.ran != model::refusal::Ran::NotRun)
     }
 
-    /// Runs of all requests under one claim that reached a target, or may have.
-    pub fn dispatched_under(&self, claim: ClaimKey) -> Vec<&Ran<'_>> {
-        let attempts = self.claims.get(&claim).into_iter().flatten();
-        let requests: BTreeSet<RequestId> = attempts.map(|e| e.request.request).collect();
-        requests.into_iter().flat_map(|request| self.dispatched(request)).collect()
+    /// Returns the runs of all requests under one claim that reached or may have reached a target.
+    pub fn dispatched_under(&self, claim: ClaimKey) -> Vec<&RecordedRun<'_>> {
+        let requests = self.claims.get(&claim).into_iter().flatten();
+        let ids: BTreeSet<RequestId> = requests.map(|ended| ended.request.request).collect();
+        ids.into_iter().flat_map(|request| self.dispatched(request)).collect()
     }
 
-    /// Whether a target's agent has evidence of a moment.
+    /// Returns whether the history has a batch of the target's agent that covers a point in time.
     pub fn witnesses(&self, target: &str, at: SystemTime) -> bool {
-        let agents = self.history.chains.iter().filter(|chain| is_agent(&chain.process, target));
-        agents.flat_map(|chain| &chain.batches).any(|placed| {
-            Span { from: Some(placed.batch.since), to: Some(placed.batch.sealed) }.contains(at)
+        let agents = self.history.chains.iter().filter(|chain| is_agent_of(&chain.process, target));
+        agents.flat_map(|chain| &chain.batches).any(|stored| {
+            Span { from: Some(stored.batch.since), to: Some(stored.batch.sealed) }.contains(at)
         })
     }
 }
 
-impl Seen<'_> {
-    /// Where it stands.
+impl LocatedRecord<'_> {
+    /// Returns the position of the record for the report.
     pub fn place(&self) -> Place {
         Place {
             process: self.chain.name(),
-            offset: self.placed.offset,
-            sequence: self.placed.batch.sequence,
+            offset: self.stored.offset,
+            sequence: self.stored.batch.sequence,
             index: self.index,
         }
     }
 
-    /// Whether it was written within a span.
+    /// Returns whether the record was written within a span.
     pub fn is_in(&self, span: Span) -> bool {
         span.contains(self.record.at)
     }
 }
 
-fn records(chain: &Chain) -> impl Iterator<Item = Seen<'_>> {
-    chain.batches.iter().flat_map(move |placed| {
-        let records = placed.batch.records.iter().enumerate();
-        records.map(move |(index, record)| Seen { chain, placed, index, record })
+fn records(chain: &Chain) -> impl Iterator<Item = LocatedRecord<'_>> {
+    chain.batches.iter().flat_map(move |stored| {
+        let records = stored.batch.records.iter().enumerate();
+        records.map(move |(index, record)| LocatedRecord { chain, stored, index, record })
     })
 }
 
-fn is_agent(process: &Process, target: &str) -> bool {
+fn is_agent_of(process: &Process, target: &str) -> bool {
     process.role == Role::Agent && process.name == target
 }
--- a/components/evidence/src/audit/mod.rs
+++ b/components/evidence/src/audit/mod.rs
@@ -1,7 +1,7 @@
-//! The audit: judges each rule over a history.
+//! Checks each rule against the records of a history.
 //!
-//! A rule is violated where records contradict it, held where all evidence that could contradict
-//! it is there and doesn't, and not provable else.
+//! The verdict on a rule is `Violated` if records contradict it, `Held` if all evidence that could
+//! contradict it is present and none does, and `NotProvable` otherwise.
 
 mod corpus;
 mod horizon;
@@ -22,12 +22,10 @@
 };
 use model::id::Offset;
 
-/// Time within which a leaving target must get no new work any more.
-pub use leaving::LIMIT as LEAVING_LIMIT;
-/// Time within which an accepted configuration must be in force everywhere.
-pub use rollout::LIMIT as ROLLOUT_LIMIT;
+pub use leaving::LEAVING_LIMIT;
+pub use rollout::ROLLOUT_LIMIT;
 
-/// What must always hold.
+/// A rule that must hold at all times.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
@@ -51,7 +49,7 @@
     Evidence,
 }
 
-/// What the evidence says of a rule.
+/// Result of checking a rule against the evidence.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -66,66 +64,66 @@
 /// {process}, batch {sequence}, record {index} (offset {offset})
 #[derive(Clone, Debug, Display, Eq, PartialEq, Serialize)]
 pub struct Place {
-    /// Who wrote the record.
+    /// Role, name and run id of the process that wrote the record.
     pub process: String,
-    /// Offset of its batch in the stream.
+    /// Offset in the stream of the log record that contains the batch.
     pub offset: Offset,
-    /// Its batch.
+    /// Number of the batch in the chain of the process, from 1.
     pub sequence: Sequence,
-    /// Its position in the batch, from 0.
+    /// Position of the record in the batch, from 0.
     pub index: usize,
 }
 
 /// Records that contradict a rule.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Violation {
-    /// One sentence for a person.
+    /// Explanation for a human reader.
     pub message: String,
-    /// The records; empty where the evidence itself is at fault.
+    /// Records that contradict the rule; empty where the evidence itself is invalid.
     pub records: Vec<Place>,
 }
 
-/// What became of one rule.
+/// Result of the audit for one rule.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Finding {
-    /// The rule.
+    /// Rule that was checked.
     pub rule: Rule,
-    /// What the evidence says.
+    /// Verdict on the rule.
     pub verdict: Verdict,
-    /// Cases that were looked at.
+    /// Number of cases that were checked.
     pub checked: usize,
-    /// What contradicts it.
+    /// Contradictions to the rule; empty unless the verdict is `Violated`.
     pub violations: Vec<Violation>,
-    /// What is missing for a proof.
+    /// Flaws of the evidence for which the rule can't be proved.
     pub gaps: Vec<Flaw>,
 }
 
-/// What became of all rules.
+/// Result of the audit for all rules.
 #[serde_as]
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Report {
-    /// Start of the time that was judged; `None` is the start of the evidence.
+    /// Start of the audited time; `None` is the start of the evidence.
     #[serde(rename = "from_ms")]
     #[serde_as(as = "Option<TimestampMilliSeconds<i64>>")]
     pub from: Option<SystemTime>,
-    /// End of the time that was judged.
+    /// End of the audited time; `None` is the end of the evidence.
     #[serde(rename = "to_ms")]
     #[serde_as(as = "Option<TimestampMilliSeconds<i64>>")]
     pub to: Option<SystemTime>,
-    /// One for each rule.
+    /// One finding for each rule.
     pub findings: Vec<Finding>,
 }
 
-/// What one rule's check gives, before gaps of the evidence are weighed.
+/// Result of checking one rule, before gaps of the evidence that concern all rules are added.
 #[derive(Debug, Default)]
-struct Judgement {
+struct RuleResult {
     checked: usize,
     violations: Vec<Violation>,
     gaps: Vec<Flaw>,
 }
 
 impl Report {
-    /// The worst verdict: violated before not provable before held.
+    /// Returns the worst verdict of all findings: `Violated`, else `NotProvable`, else `Held`.
     pub fn verdict(&self) -> Verdict {
         let has = |verdict| self.findings.iter().any(|finding| finding.verdict == verdict);
         match (has(Verdict::Violated), has(Verdict::NotProvable)) {
@@ -135,16 +133,16 @@
         }
     }
 
-    /// What became of one rule.
+    /// Returns the finding on a rule; `None` if the report has none.
     pub fn finding(&self, rule: Rule) -> Option<&Finding> {
         self.findings.iter().find(|finding| finding.rule == rule)
     }
 }
 
-/// Judges every rule for what ended within a span.
+/// Checks every rule for the requests that ended within a span.
 ///
-/// What a process that still runs hasn't written yet isn't missing: the span ends early enough
-/// that every such process has written past it.
+/// Records that a running process hasn't written yet don't count as missing: the span is shortened
+/// to the time for which all running processes have written their records.
 pub fn audit(history: &History, span: Span) -> Report {
     let span = horizon::clip(history, span);
     let corpus = corpus::open(history);
@@ -160,36 +158,40 @@
         (Rule::GracefulShutdown, None, shedding::graceful_shutdown(&corpus, span)),
         (Rule::Configuration, entries, rollout::configuration(&corpus, span)),
     ];
-    let judge = |(rule, role, judgement)| conclude(rule, judgement, relevant(history, role, span));
-    let mut findings: Vec<Finding> = rules.into_iter().map(judge).collect();
+    let finding =
+        |(rule, role, result)| conclude(rule, result, relevant_flaws(history, role, span));
+    let mut findings: Vec<Finding> = rules.into_iter().map(finding).collect();
     findings.push(evidence(history, span));
     Report { from: span.from, to: span.to, findings }
 }
 
-/// Gaps that could hide a record of a role in a span; a span without any evidence is one.
-fn relevant(history: &History, role: Option<Role>, span: Span) -> Vec<Flaw> {
+/// Returns the flaws that could hide a record of processes with a role (`None` for all roles)
+/// within a span. A span without any evidence is itself a flaw.
+fn relevant_flaws(history: &History, role: Option<Role>, span: Span) -> Vec<Flaw> {
     if !is_covered(history, span) {
         return vec![Flaw::Empty];
     }
-    let touches = |gap: &&Gap| {
-        // A direct entry's chain holds what entries write and what agents write.
-        let direct = gap.role == Some(Role::Direct);
-        let same_role = direct || role.is_none() || gap.role.is_none() || gap.role == role;
+    let concerns = |gap: &&Gap| {
+        // An entry process that dispatches straight to targets writes both the records of entries
+        // and of agents.
+        let is_direct = gap.role == Some(Role::Direct);
+        let same_role = is_direct || role.is_none() || gap.role.is_none() || gap.role == role;
         same_role && gap.span.overlaps(span)
     };
-    history.gaps.iter().filter(touches).map(|gap| gap.flaw.clone()).collect()
+    history.gaps.iter().filter(concerns).map(|gap| gap.flaw.clone()).collect()
 }
 
 fn is_covered(history: &History, span: Span) -> bool {
     let mut batches = history.chains.iter().flat_map(|chain| &chain.batches);
-    batches.any(|placed| {
-        let written = Span { from: Some(placed.batch.since), to: Some(placed.batch.sealed) };
+    batches.any(|stored| {
+        let written = Span { from: Some(stored.batch.since), to: Some(stored.batch.sealed) };
         written.overlaps(span)
     })
 }
 
-fn conclude(rule: Rule, judgement: Judgement, missing: Vec<Flaw>) -> Finding {
-    let Judgement { checked, violations, mut gaps } = judgement;
+/// Derives the verdict from a rule's result and the flaws of the evidence.
+fn conclude(rule: Rule, result: RuleResult, missing: Vec<Flaw>) -> Finding {
+    let RuleResult { checked, violations, mut gaps } = result;
     gaps.extend(missing);
     let verdict = match (violations.is_empty(), gaps.is_empty()) {
         (false, _) => Verdict::Violated,
@@ -199,14 +201,15 @@
     Finding { rule, verdict, checked, violations, gaps }
 }
 
+/// Checks the evidence itself: tampering violates the rule, missing evidence makes it unprovable.
 fn evidence(history: &History, span: Span) -> Finding {
     let (tampered, missing): (Vec<Flaw>, Vec<Flaw>) =
-        relevant(history, None, span).into_iter().partition(Flaw::is_tampering);
+        relevant_flaws(history, None, span).into_iter().partition(Flaw::is_tampering);
     let violation = |flaw: Flaw| Violation { message: flaw.to_string(), records: Vec::new() };
-    let judgement = Judgement {
+    let result = RuleResult {
         checked: history.chains.iter().map(|chain| chain.batches.len()).sum(),
         violations: tampered.into_iter().map(violation).collect(),
         gaps: Vec::new(),
     };
-    conclude(Rule::Evidence, judgement, missing)
+    conclude(Rule::Evidence, result, missing)
 }
--- a/components/evidence/src/audit/requests.rs
+++ b/components/evidence/src/audit/requests.rs
@@ -1,159 +1,172 @@
-//! Rules about single requests: what their entries promised against what agents did.
+//! Rules about single requests: compare the outcomes that entry processes recorded with the runs
+//! that agents recorded.
 
 use model::{id::RequestId, refusal};
 
 use super::{
-    Judgement, Violation,
-    corpus::{Corpus, Ended, Ran},
-    horizon::MARGIN,
+    RuleResult, Violation,
+    corpus::{Corpus, EndedRequest, RecordedRun},
+    horizon::CLOCK_MARGIN,
 };
 use crate::{
     history::{Flaw, Span},
     record::{Outcome, Start},
 };
 
-/// A request is dispatched to a target at most once.
-pub fn dispatched_once(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
+/// Checks that a request is dispatched to a target at most once.
+pub fn dispatched_once(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
     for (request, runs) in &corpus.runs {
-        if !runs.iter().any(|ran| ran.seen.is_in(span)) {
+        if !runs.iter().any(|recorded| recorded.located.is_in(span)) {
             continue;
         }
-        judgement.checked += 1;
-        let dispatched: Vec<&Ran<'_>> = corpus.dispatched(*request).collect();
-        if dispatched.len() > most_dispatches(corpus, *request) {
+        result.checked += 1;
+        let dispatched: Vec<&RecordedRun<'_>> = corpus.dispatched(*request).collect();
+        if dispatched.len() > max_dispatches(corpus, *request) {
             let message = format!("request {request} was dispatched {} times", dispatched.len());
-            let records = dispatched.iter().map(|ran| ran.seen.place()).collect();
-            judgement.violations.push(Violation { message, records });
+            let records = dispatched.iter().map(|recorded| recorded.located.place()).collect();
+            result.violations.push(Violation { message, records });
         }
     }
     for ended in in_span(corpus, span) {
-        judgement.gaps.extend(unwitnessed(corpus, ended));
+        result.gaps.extend(unwitnessed_run(corpus, ended));
     }
-    judgement
+    result
 }
 
-/// A whole answer is the one that the agent read from the target for this request.
-pub fn whole_answers(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
+/// Checks that each complete answer is the one that the agent read from the target for this
+/// request.
+pub fn whole_answers(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
     for ended in in_span(corpus, span) {
         let Outcome::Whole { digest } = ended.request.outcome else {
             continue;
         };
-        judgement.checked += 1;
-        let runs: Vec<&Ran<'_>> = corpus.dispatched(ended.request.request).collect();
-        if runs.iter().any(|ran| ran.run.digest == Some(digest)) {
+        result.checked += 1;
+        let runs: Vec<&RecordedRun<'_>> = corpus.dispatched(ended.request.request).collect();
+        if runs.iter().any(|recorded| recorded.run.digest == Some(digest)) {
             continue;
         }
-        let missing = unwitnessed(corpus, ended);
+        let missing = unwitnessed_run(corpus, ended);
         if runs.is_empty() && missing.is_some() {
-            judgement.gaps.extend(missing);
+            result.gaps.extend(missing);
             continue;
         }
         let request = ended.request.request;
         let message = format!("the answer to request {request} isn't the one that its run gave");
-        judgement.violations.push(violation(message, ended, &runs));
+        result.violations.push(violation(message, ended, &runs));
     }
-    judgement
+    result
 }
 
-/// A refusal that says `not run` speaks of a request that no target ran; with an idempotency key it
-/// speaks of all requests with this key until then, as far as clocks can tell.
-pub fn not_run(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
+/// Checks that no target ran a request that was refused as `not run`. If the request has an
+/// idempotency key, no other request with this key may have run before the refusal either, within
+/// the margin of the clocks.
+pub fn not_run(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
     for ended in in_span(corpus, span) {
         let Outcome::Refused { ran: refusal::Ran::NotRun, .. } = ended.request.outcome else {
             continue;
         };
-        judgement.checked += 1;
+        result.checked += 1;
         let request = ended.request.request;
-        let mut runs: Vec<&Ran<'_>> = corpus.dispatched(request).collect();
+        let mut runs: Vec<&RecordedRun<'_>> = corpus.dispatched(request).collect();
         runs.extend(earlier_copies(corpus, ended));
         if runs.is_empty() {
-            judgement.gaps.extend(unseen(corpus, ended));
+            result.gaps.extend(uncovered_start(corpus, ended));
             continue;
         }
         let message = format!("request {request} was refused as not run, but it or a copy ran");
-        judgement.violations.push(violation(message, ended, &runs));
+        result.violations.push(violation(message, ended, &runs));
     }
-    judgement
+    result
 }
 
-/// All attempts under one claim run at most once together.
-pub fn runs_once(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
-    for (claim, attempts) in &corpus.claims {
-        let is_guarded = attempts.iter().any(|ended| !ended.request.idempotent);
-        if !is_guarded || !attempts.iter().any(|ended| ended.seen.is_in(span)) {
+/// Checks that all requests under one claim together run at most once, if any of them isn't
+/// idempotent.
+pub fn runs_once(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
+    for (claim, requests) in &corpus.claims {
+        let is_at_most_once = requests.iter().any(|ended| !ended.request.idempotent);
+        if !is_at_most_once || !requests.iter().any(|ended| ended.located.is_in(span)) {
             continue;
         }
-        judgement.checked += 1;
+        result.checked += 1;
         let runs = corpus.dispatched_under(*claim);
         if runs.len() > 1 {
-            let account = &attempts[0].request.account;
+            let account = &requests[0].request.account;
             let message =
                 format!("a non-idempotent request of account `{account}` ran {} times", runs.len());
-            judgement.violations.push(violation(message, &attempts[0], &runs));
+            result.violations.push(violation(message, &requests[0], &runs));
         }
-        judgement.gaps.extend(attempts.iter().flat_map(|ended| unwitnessed(corpus, ended)));
+        result.gaps.extend(requests.iter().flat_map(|ended| unwitnessed_run(corpus, ended)));
     }
-    judgement
+    result
 }
 
-/// How often a request may be dispatched: once, but for one that may be repeated and whose entry
-/// dispatches it itself, which says with each dispatch where it went.
-fn most_dispatches(corpus: &Corpus<'_>, request: RequestId) -> usize {
-    let ended = corpus.requests.get(&request).into_iter().flatten();
-    let mut repeatable = ended.filter(|ended| ended.is_direct() && ended.request.idempotent);
+/// Returns how often a request may be dispatched. The limit is one, except for an idempotent
+/// request that its entry process dispatches straight to targets: such a process records a start
+/// for each dispatch.
+fn max_dispatches(corpus: &Corpus<'_>, request: RequestId) -> usize {
+    let requests = corpus.requests.get(&request).into_iter().flatten();
+    let mut repeatable = requests.filter(|ended| ended.is_direct() && ended.request.idempotent);
     repeatable.next().map_or(1, |ended| ended.request.starts.len())
 }
 
-fn in_span<'a>(corpus: &'a Corpus<'_>, span: Span) -> impl Iterator<Item = &'a Ended<'a>> {
-    corpus.requests.values().flatten().filter(move |ended| ended.seen.is_in(span))
+fn in_span<'a>(corpus: &'a Corpus<'_>, span: Span) -> impl Iterator<Item = &'a EndedRequest<'a>> {
+    corpus.requests.values().flatten().filter(move |ended| ended.located.is_in(span))
 }
 
-/// Runs of other requests with the same key that began surely before this one was refused.
+/// Returns the runs of other requests with the same idempotency key that started before this one
+/// was refused, by more than the margin of the clocks.
 fn earlier_copies<'a>(
     corpus: &'a Corpus<'_>,
-    ended: &'a Ended<'_>,
-) -> impl Iterator<Item = &'a Ran<'a>> {
+    ended: &'a EndedRequest<'_>,
+) -> impl Iterator<Item = &'a RecordedRun<'a>> {
     let runs = ended.request.claim.map(|claim| corpus.dispatched_under(claim));
-    runs.into_iter().flatten().filter(|ran| {
-        let other = ran.run.id.request != ended.request.request;
-        other && ran.run.started + MARGIN < ended.seen.record.at
+    runs.into_iter().flatten().filter(|recorded| {
+        let is_other = recorded.run.id.request != ended.request.request;
+        is_other && recorded.run.started + CLOCK_MARGIN < ended.located.record.at
     })
 }
 
-/// The last start of a request that may have run, where no agent shows a run.
-fn unwitnessed(corpus: &Corpus<'_>, ended: &Ended<'_>) -> Option<Flaw> {
-    let promised = match ended.request.outcome {
+/// Returns a flaw if the entry process recorded that a request ran, but no agent recorded a run, or
+/// if an agent's evidence is missing for a start.
+fn unwitnessed_run(corpus: &Corpus<'_>, ended: &EndedRequest<'_>) -> Option<Flaw> {
+    let says_it_ran = match ended.request.outcome {
         Outcome::Whole { .. } => true,
         Outcome::Refused { ran, .. } => ran == refusal::Ran::Yes,
         Outcome::Abandoned => false,
     };
-    if !promised || corpus.dispatched(ended.request.request).next().is_some() {
-        return unseen(corpus, ended);
+    if !says_it_ran || corpus.dispatched(ended.request.request).next().is_some() {
+        return uncovered_start(corpus, ended);
     }
-    ended.request.starts.last().map(|start| flaw(ended, start))
+    ended.request.starts.last().map(|start| unwitnessed_flaw(ended, start))
 }
 
-/// A start at a target whose agent has no evidence of that time.
-fn unseen(corpus: &Corpus<'_>, ended: &Ended<'_>) -> Option<Flaw> {
-    let shown = |start: &Start| {
+/// Returns a flaw for the first start at a target whose agent has neither a record of the run nor
+/// any evidence of that time.
+fn uncovered_start(corpus: &Corpus<'_>, ended: &EndedRequest<'_>) -> Option<Flaw> {
+    let is_covered = |start: &Start| {
         let runs = corpus.runs.get(&ended.request.request).into_iter().flatten();
-        let mut here = runs.filter(|ran| ran.run.id.attempt == start.attempt);
+        let mut of_attempt = runs.filter(|recorded| recorded.run.id.attempt == start.attempt);
         ended.is_direct()
-            || here.next().is_some()
-            || corpus.witnesses(&start.target, ended.seen.record.at)
+            || of_attempt.next().is_some()
+            || corpus.witnesses(&start.target, ended.located.record.at)
     };
-    ended.request.starts.iter().find(|start| !shown(start)).map(|start| flaw(ended, start))
+    ended
+        .request
+        .starts
+        .iter()
+        .find(|start| !is_covered(start))
+        .map(|start| unwitnessed_flaw(ended, start))
 }
 
-fn flaw(ended: &Ended<'_>, start: &Start) -> Flaw {
+fn unwitnessed_flaw(ended: &EndedRequest<'_>, start: &Start) -> Flaw {
     Flaw::Unwitnessed { request: ended.request.request, target: start.target.clone() }
 }
 
-fn violation(message: String, ended: &Ended<'_>, runs: &[&Ran<'_>]) -> Violation {
-    let places = runs.iter().map(|ran| ran.seen.place());
-    Violation { message, records: [ended.seen.place()].into_iter().chain(places).collect() }
+fn violation(message: String, ended: &EndedRequest<'_>, runs: &[&RecordedRun<'_>]) -> Violation {
+    let places = runs.iter().map(|recorded| recorded.located.place());
+    Violation { message, records: [ended.located.place()].into_iter().chain(places).collect() }
 }
--- a/components/evidence/src/audit/shedding.rs
+++ b/components/evidence/src/audit/shedding.rs
@@ -1,55 +1,57 @@
-//! Rules about one process alone: whom it sheds, and what it leaves behind when it ends.
+//! Rules that concern a single process: which requests it sheds, and how it shuts down.
 
 use model::id::Rank;
 
 use super::{
-    Judgement, Violation,
-    corpus::{Corpus, Seen},
+    RuleResult, Violation,
+    corpus::{Corpus, LocatedRecord},
 };
 use crate::{
     history::Span,
     record::{Fact, Outcome},
 };
 
-/// Whoever sheds a request leaves none of a lower tier waiting.
-pub fn tier_order(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
-    for seen in corpus.all.iter().filter(|seen| seen.is_in(span)) {
-        let Some(shed) = shed(seen) else {
+/// Checks that a process that sheds a request has no request of a lower tier left waiting. A higher
+/// rank is a lower tier.
+pub fn tier_order(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
+    for located in corpus.all.iter().filter(|located| located.is_in(span)) {
+        let Some(shed) = as_shed(located) else {
             continue;
         };
-        judgement.checked += 1;
+        result.checked += 1;
         if let Some(left) = shed.left_waiting.filter(|left| *left > shed.rank) {
             let message = format!("rank {} was shed while rank {left} went on waiting", shed.rank);
-            judgement.violations.push(Violation { message, records: vec![seen.place()] });
+            result.violations.push(Violation { message, records: vec![located.place()] });
         }
     }
-    judgement
+    result
 }
 
-/// A process that closes its chain has nothing in progress.
-pub fn graceful_shutdown(corpus: &Corpus<'_>, span: Span) -> Judgement {
-    let mut judgement = Judgement::default();
-    for seen in corpus.all.iter().filter(|seen| seen.is_in(span)) {
-        let Fact::Closed { open } = seen.record.fact else {
+/// Checks that a process that closes its chain has no requests in progress.
+pub fn graceful_shutdown(corpus: &Corpus<'_>, span: Span) -> RuleResult {
+    let mut result = RuleResult::default();
+    for located in corpus.all.iter().filter(|located| located.is_in(span)) {
+        let Fact::Closed { open } = located.record.fact else {
             continue;
         };
-        judgement.checked += 1;
+        result.checked += 1;
         if open > 0 {
             let message = format!("the process ended with {open} requests in progress");
-            judgement.violations.push(Violation { message, records: vec![seen.place()] });
+            result.violations.push(Violation { message, records: vec![located.place()] });
         }
     }
-    judgement
+    result
 }
 
+/// A request that was shed, and the lowest tier that stayed in the queue, if any.
 struct Shed {
     rank: Rank,
     left_waiting: Option<Rank>,
 }
 
-fn shed(seen: &Seen<'_>) -> Option<Shed> {
-    match &seen.record.fact {
+fn as_shed(located: &LocatedRecord<'_>) -> Option<Shed> {
+    match &located.record.fact {
         Fact::Eviction(eviction) => {
             Some(Shed { rank: eviction.rank, left_waiting: eviction.left_waiting })
         }
--- a/components/evidence/src/batch.rs
+++ b/components/evidence/src/batch.rs
@@ -1,4 +1,5 @@
-//! Batches: records sealed with the hash of the batch before them.
+//! Batches of records; each batch contains the digest of the previous one, which makes a hash
+//! chain.
 
 use std::time::SystemTime;
 
@@ -12,84 +13,87 @@
 
 use crate::record::Record;
 
-/// Version of the form of batches; a reader refuses one that it doesn't know.
+/// Version of the batch format; a reader rejects batches of other versions.
 pub const SCHEMA: u32 = 1;
 
 /// BLAKE3 hash of a batch's content.
 pub type Digest = [u8; 32];
-/// Counts a chain's batches from 1.
+/// Number of a batch in its chain, from 1.
 pub type Sequence = u64;
 
-/// What a process is.
+/// Kind of process that writes evidence.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// An entry process.
+    /// Entry process that forwards requests to agents.
     Entry,
-    /// An agent.
+    /// Agent of a target.
     Agent,
-    /// An entry process that dispatches straight to targets, and writes their runs itself.
+    /// Entry process that dispatches straight to targets and records the runs itself.
     Direct,
 }
 
-/// One run of a process; it has one chain.
+/// One run of a process, from start to exit. Each run writes one chain.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Process {
-    /// What it is.
+    /// Kind of the process.
     pub role: Role,
-    /// Name of the entry, or the target that the agent stands beside.
+    /// Name of the entry process, or of the agent's target.
     pub name: String,
-    /// Host that it runs on.
+    /// Host that the process runs on.
     pub host: HostName,
-    /// Names the run.
+    /// Unique id of the run.
     pub run: Uuid,
 }
 
-/// Records of one process over one stretch of time.
+/// Records of one process from one period of time.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Batch {
-    /// Form of this batch; see [`SCHEMA`].
+    /// Version of the batch format; see [`SCHEMA`].
     pub schema: u32,
-    /// Who wrote it.
+    /// Process that wrote the batch.
     pub process: Process,
-    /// Its place in the chain.
+    /// Number of the batch in the chain, from 1.
     pub sequence: Sequence,
-    /// Digest of the batch before; zeros for the first.
+    /// Digest of the previous batch; all zeros in the first batch.
     pub previous: Digest,
-    /// End of the batch before, or start of the process.
+    /// Start of the period: when the previous batch was sealed, or, for the first batch, when the
+    /// process started.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub since: SystemTime,
-    /// When it was sealed: it holds all records between the two that weren't lost.
+    /// End of the period: when this batch was sealed. The batch contains all records from `since`
+    /// to `sealed`, except for the lost ones.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub sealed: SystemTime,
-    /// Records between the two that found no room in memory.
+    /// Number of records that were dropped before this batch because the buffer was full.
     pub lost: u64,
-    /// The records, in their order.
+    /// Records in the order in which they were written.
     pub records: Vec<Record>,
 }
 
-/// A batch as it stands in the log.
+/// An encoded batch and its digest, as stored in the log.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sealed {
-    /// Hash of the content before its text form.
+    /// Hash of the content before base64 encoding.
     #[serde_as(as = "Hex")]
     pub digest: Digest,
-    /// The batch by `postcard`, in base64.
+    /// The batch, serialized with `postcard` and encoded in base64.
     pub content: String,
 }
 
-/// One record of the `evidence` stream: batches of several processes, brought by one.
+/// One record of the `evidence` stream. It contains batches of several processes, appended by one
+/// of them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// The batches.
+    /// Batches in the order in which they are appended.
     pub batches: Vec<Sealed>,
 }
 
-/// Why a sealed batch is no batch.
+/// Reason for which a sealed batch can't be opened.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// its content isn't base64: {0}
@@ -102,14 +106,14 @@
     Schema(u32),
 }
 
-/// Seals a batch.
+/// Encodes a batch and computes its digest.
 pub fn seal(batch: &Batch) -> Sealed {
     let content = postcard::to_stdvec(batch).expect("a batch has only plain fields");
     let digest = *blake3::hash(&content).as_bytes();
     Sealed { digest, content: BASE64.encode(content) }
 }
 
-/// Opens a sealed batch, if its content has its digest.
+/// Decodes a sealed batch after checking its digest.
 pub fn unseal(sealed: &Sealed) -> Result<Batch, Error> {
     let content = BASE64.decode(&sealed.content)?;
     if *blake3::hash(&content).as_bytes() != sealed.digest {
--- a/components/evidence/src/history.rs
+++ b/components/evidence/src/history.rs
@@ -1,4 +1,4 @@
-//! Reads the stream into chains and finds what is missing, forged or broken.
+//! Assembles the records of the stream into chains and detects missing, forged or broken batches.
 
 use std::{
     collections::{BTreeMap, btree_map::Entry},
@@ -15,29 +15,30 @@
     record::Fact,
 };
 
-/// Time after which a process that writes nothing more counts as stopped.
-pub const SILENCE: Duration = Duration::from_secs(120);
+/// Time without a new batch after which a process with an open chain counts as stopped.
+pub const STOPPED_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A record of the stream, as read.
+/// A record of the stream as read from the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Read {
-    /// Its offset.
+    /// Offset of the record in the stream.
     pub offset: Offset,
-    /// Its text.
+    /// Payload of the record: an [`Envelope`] as JSON.
     pub payload: String,
 }
 
-/// A time between two ends; `None` is without end.
+/// A time interval that includes both ends; `None` at either end means that the interval is
+/// unbounded there.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Span {
-    /// Its start.
+    /// Start of the interval.
     pub from: Option<SystemTime>,
-    /// Its end.
+    /// End of the interval.
     pub to: Option<SystemTime>,
 }
 
 impl Span {
-    /// Whether both share a moment.
+    /// Returns whether the two intervals have a point in time in common.
     pub fn overlaps(&self, other: Span) -> bool {
         let before = |end: Option<SystemTime>, start: Option<SystemTime>| {
             end.zip(start).is_some_and(|(end, start)| end < start)
@@ -45,13 +46,13 @@
         !before(self.to, other.from) && !before(other.to, self.from)
     }
 
-    /// Whether a moment lies in it.
+    /// Returns whether the interval contains a point in time.
     pub fn contains(&self, at: SystemTime) -> bool {
         self.overlaps(Span { from: Some(at), to: Some(at) })
     }
 }
 
-/// What is wrong with the evidence itself.
+/// A flaw of the evidence itself.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Flaw {
@@ -61,174 +62,179 @@
     Expired(Offset),
     /// offset {offset}: no evidence: {reason}
     Forged {
-        /// Where it stands.
+        /// Offset of the record in the stream.
         offset: Offset,
-        /// Why it isn't what it says.
+        /// Reason for which the record or batch can't be read.
         reason: String,
     },
     /// {process}: two different batches are number {sequence}
     Doubled {
-        /// Whose chain.
+        /// Process that wrote the chain.
         process: String,
-        /// Which batch.
+        /// Number of the two batches.
         sequence: Sequence,
     },
     /// {process}: batch {sequence} doesn't follow the one before it
     Broken {
-        /// Whose chain.
+        /// Process that wrote the chain.
         process: String,
-        /// Which batch.
+        /// Number of the batch whose digest of the previous batch doesn't match.
         sequence: Sequence,
     },
     /// {process}: batches {first} to {last} are missing
     Missing {
-        /// Whose chain.
+        /// Process that wrote the chain.
         process: String,
-        /// First that is missing.
+        /// Number of the first missing batch.
         first: Sequence,
-        /// Last that is missing.
+        /// Number of the last missing batch.
         last: Sequence,
     },
     /// {process}: {count} records before batch {sequence} found no room in memory
     Lost {
-        /// Whose chain.
+        /// Process that wrote the chain.
         process: String,
-        /// Batch that tells it.
+        /// Number of the batch that reports the loss.
         sequence: Sequence,
-        /// How many.
+        /// Number of lost records.
         count: u64,
     },
     /// {process} stopped after batch {sequence} without closing its chain
     Stopped {
-        /// Whose chain.
+        /// Process that wrote the chain.
         process: String,
-        /// Its last batch.
+        /// Number of the last batch in the chain.
         sequence: Sequence,
     },
     /// request {request} was told to start at `{target}`, whose agent shows no such run
     Unwitnessed {
-        /// The request.
+        /// Request whose run has no record.
         request: RequestId,
-        /// Where it should have run.
+        /// Target at which the request was to start.
         target: TargetName,
     },
 }
 
 impl Flaw {
-    /// Whether somebody changed the evidence, rather than that some is missing.
+    /// Returns whether the flaw shows that the evidence was modified, not only that a part is
+    /// missing.
     pub fn is_tampering(&self) -> bool {
         matches!(self, Flaw::Forged { .. } | Flaw::Doubled { .. } | Flaw::Broken { .. })
     }
 }
 
-/// A flaw, whose evidence it touches and of what time.
+/// A flaw with the role and the time span whose records may be missing because of it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Gap {
-    /// What is wrong.
+    /// The flaw.
     pub flaw: Flaw,
-    /// Role of the process; `None` where it can be any.
+    /// Role of the process; `None` if it isn't known.
     pub role: Option<Role>,
-    /// Time whose records may be missing.
+    /// Time span whose records may be missing.
     pub span: Span,
 }
 
-/// The batches of one run of a process that could be read, in their order.
+/// The readable batches of one run of a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Chain {
-    /// Who wrote it.
+    /// Process that wrote the chain.
     pub process: Process,
-    /// Its batches by number.
-    pub batches: Vec<Placed>,
+    /// Batches in the order of their numbers.
+    pub batches: Vec<StoredBatch>,
 }
 
-/// A batch and where it was read.
+/// A batch and its position in the stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Placed {
-    /// Offset in the stream.
+pub struct StoredBatch {
+    /// Offset of the record that contains the batch; the first one if the stream contains the batch
+    /// twice.
     pub offset: Offset,
-    /// Its digest.
+    /// Digest of the batch.
     pub digest: Digest,
-    /// The batch.
+    /// The decoded batch.
     pub batch: Batch,
 }
 
-/// Everything that was read.
+/// All chains that were read from the stream, and the gaps in them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct History {
-    /// One for each run of a process.
+    /// One chain for each run of a process.
     pub chains: Vec<Chain>,
-    /// What is wrong with them.
+    /// Flaws of the chains and of the stream.
     pub gaps: Vec<Gap>,
 }
 
-type Chains = BTreeMap<Process, BTreeMap<Sequence, Placed>>;
+type Chains = BTreeMap<Process, BTreeMap<Sequence, StoredBatch>>;
 
-/// Puts the chains together and checks them.
+/// Assembles the chains from the records of the stream and checks them.
 pub fn assemble(stream: impl IntoIterator<Item = Read>) -> History {
     let mut history = History::default();
     let mut chains = Chains::new();
     for read in stream {
         match serde_json::from_str::<Envelope>(&read.payload) {
-            Ok(envelope) => collect(&mut chains, &mut history.gaps, read.offset, &envelope),
-            Err(error) => history.gaps.push(forged(read.offset, &error.to_string())),
+            Ok(envelope) => add_batches(&mut chains, &mut history.gaps, read.offset, &envelope),
+            Err(error) => history.gaps.push(forged_gap(read.offset, &error.to_string())),
         }
     }
-    let newest = chains.values().flat_map(BTreeMap::values).map(|placed| placed.batch.sealed).max();
+    let newest = chains.values().flat_map(BTreeMap::values).map(|stored| stored.batch.sealed).max();
     for (process, batches) in chains {
         let chain = Chain { process, batches: batches.into_values().collect() };
-        history.gaps.extend(check(&chain, newest));
+        history.gaps.extend(check_chain(&chain, newest));
         history.chains.push(chain);
     }
     history
 }
 
 impl Chain {
-    /// Who wrote it, for a person.
+    /// Returns the role, name and run id of the process, for messages.
     pub fn name(&self) -> String {
-        name(&self.process)
+        process_name(&self.process)
     }
 
-    /// Whether its last record says that it is the last.
+    /// Returns whether the process closed the chain: the last record is `Closed`.
     pub fn is_closed(&self) -> bool {
-        let last = self.batches.iter().flat_map(|placed| &placed.batch.records).next_back();
+        let last = self.batches.iter().flat_map(|stored| &stored.batch.records).next_back();
         last.is_some_and(|record| matches!(record.fact, Fact::Closed { .. }))
     }
 
-    /// When its last batch was sealed.
+    /// Returns when the last batch was sealed; `None` if the chain has no batches.
     pub fn sealed(&self) -> Option<SystemTime> {
-        self.batches.last().map(|placed| placed.batch.sealed)
+        self.batches.last().map(|stored| stored.batch.sealed)
     }
 }
 
-fn collect(chains: &mut Chains, gaps: &mut Vec<Gap>, offset: Offset, envelope: &Envelope) {
+/// Adds the batches of one record of the stream to the chains, and their flaws to `gaps`.
+fn add_batches(chains: &mut Chains, gaps: &mut Vec<Gap>, offset: Offset, envelope: &Envelope) {
     for sealed in &envelope.batches {
         let batch = match batch::unseal(sealed) {
             Ok(batch) => batch,
             Err(error) => {
-                gaps.push(forged(offset, &error.to_string()));
+                gaps.push(forged_gap(offset, &error.to_string()));
                 continue;
             }
         };
         let chain = chains.entry(batch.process.clone()).or_default();
         match chain.entry(batch.sequence) {
-            // An append whose answer was lost is made again: the same batch may stand twice.
+            // An append whose response was lost is retried, so the stream may contain the same
+            // batch twice.
             Entry::Occupied(old) if old.get().digest == sealed.digest => {}
             Entry::Occupied(_) => {
-                let (process, sequence) = (name(&batch.process), batch.sequence);
-                gaps.push(gap(&batch, Flaw::Doubled { process, sequence }));
+                let (process, sequence) = (process_name(&batch.process), batch.sequence);
+                gaps.push(batch_gap(&batch, Flaw::Doubled { process, sequence }));
             }
             Entry::Vacant(free) => {
-                free.insert(Placed { offset, digest: sealed.digest, batch });
+                free.insert(StoredBatch { offset, digest: sealed.digest, batch });
             }
         }
     }
 }
 
-fn check(chain: &Chain, newest: Option<SystemTime>) -> Vec<Gap> {
+/// Returns the gaps of a chain. `newest` is the time of the newest batch of all chains.
+fn check_chain(chain: &Chain, newest: Option<SystemTime>) -> Vec<Gap> {
     let mut gaps = Vec::new();
     let mut next = 1;
     let mut previous = Some(Digest::default());
-    for Placed { batch, digest, .. } in &chain.batches {
+    for StoredBatch { batch, digest, .. } in &chain.batches {
         let process = chain.name();
         let sequence = batch.sequence;
         if sequence > next {
@@ -239,45 +245,48 @@
             previous = None;
         }
         if previous.is_some_and(|previous| previous != batch.previous) {
-            gaps.push(gap(batch, Flaw::Broken { process: process.clone(), sequence }));
+            gaps.push(batch_gap(batch, Flaw::Broken { process: process.clone(), sequence }));
         }
         if batch.lost > 0 {
-            gaps.push(gap(batch, Flaw::Lost { process, sequence, count: batch.lost }));
+            gaps.push(batch_gap(batch, Flaw::Lost { process, sequence, count: batch.lost }));
         }
         next = sequence + 1;
         previous = Some(*digest);
     }
-    gaps.extend(stopped(chain, newest));
+    gaps.extend(stopped_gap(chain, newest));
     gaps
 }
 
-fn stopped(chain: &Chain, newest: Option<SystemTime>) -> Option<Gap> {
+/// Returns a gap if the chain isn't closed and other processes wrote batches long after its last
+/// one.
+fn stopped_gap(chain: &Chain, newest: Option<SystemTime>) -> Option<Gap> {
     let last = &chain.batches.last()?.batch;
     let sealed = last.sealed;
-    if chain.is_closed() || newest? < sealed + SILENCE {
+    if chain.is_closed() || newest? < sealed + STOPPED_TIMEOUT {
         return None;
     }
     let flaw = Flaw::Stopped { process: chain.name(), sequence: last.sequence };
-    let span = Span { from: Some(sealed), to: Some(sealed + SILENCE) };
+    let span = Span { from: Some(sealed), to: Some(sealed + STOPPED_TIMEOUT) };
     Some(Gap { flaw, role: Some(chain.process.role), span })
 }
 
+/// Returns when the last readable batch before a number was sealed.
 fn sealed_before(chain: &Chain, sequence: Sequence) -> Option<SystemTime> {
-    let before = chain.batches.iter().filter(|placed| placed.batch.sequence < sequence);
-    before.map(|placed| placed.batch.sealed).max()
+    let before = chain.batches.iter().filter(|stored| stored.batch.sequence < sequence);
+    before.map(|stored| stored.batch.sealed).max()
 }
 
-fn gap(batch: &Batch, flaw: Flaw) -> Gap {
+fn batch_gap(batch: &Batch, flaw: Flaw) -> Gap {
     let span = Span { from: Some(batch.since), to: Some(batch.sealed) };
     Gap { flaw, role: Some(batch.process.role), span }
 }
 
-fn forged(offset: Offset, reason: &str) -> Gap {
+fn forged_gap(offset: Offset, reason: &str) -> Gap {
     let flaw = Flaw::Forged { offset, reason: reason.to_owned() };
     Gap { flaw, role: None, span: Span::default() }
 }
 
-fn name(process: &Process) -> String {
+fn process_name(process: &Process) -> String {
     let role = match process.role {
         Role::Entry => "entry",
         Role::Agent => "agent",
--- a/components/evidence/src/lib.rs
+++ b/components/evidence/src/lib.rs
@@ -1,7 +1,9 @@
-//! Evidence of what was decided: records in hash-chained batches, and the audit that reads them.
+//! Evidence of what processes decided: records in hash-chained batches, and the audit that checks
+//! them.
 //!
-//! Each run of a process writes a chain of its own to the `evidence` stream of the platform's log.
-//! What is missing shows as a gap, and the audit never takes a gap for proof.
+//! Each run of a process writes its own chain to the `evidence` stream of the platform's log.
+//! Missing records are detected as a gap, and the audit never treats a gap as proof that a rule
+//! held.
 
 pub mod append;
 pub mod audit;
--- a/components/evidence/src/outbox.rs
+++ b/components/evidence/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Evidence that isn't in the log yet, in bounded memory.
+//! Evidence that hasn't been appended to the log yet, in bounded memory.
 
 use std::{
     collections::VecDeque,
@@ -13,119 +13,126 @@
     record::{Fact, Record},
 };
 
-/// Most records that wait to be sealed; beyond it they are lost, and counted.
-pub const BUFFER_LIMIT: usize = 16_384;
-/// Most records in sealed batches that aren't in the log yet; beyond it no batch is sealed.
-pub const KEPT_LIMIT: usize = 16_384;
+/// Limit on the records that are not sealed yet; further records are dropped and counted as lost.
+pub const BUFFERED_RECORD_LIMIT: usize = 16_384;
+/// Limit on the records in sealed batches that aren't confirmed to be in the log; at the limit no
+/// batch is sealed.
+pub const UNCONFIRMED_RECORD_LIMIT: usize = 16_384;
 
-/// Most records of one batch, so that an append after an outage isn't too large for the log.
-pub const BATCH_LIMIT: usize = 2_048;
+/// Limit on the records of one batch, so that an append after an outage isn't too large for the
+/// log.
+pub const BATCH_RECORD_LIMIT: usize = 2_048;
 
-/// A sealed batch with its number.
+/// A sealed batch and its number, which confirms the batch once it is in the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Handed {
-    /// Its place in the chain.
+    /// Number of the batch in the chain, from 1.
     pub sequence: Sequence,
-    /// The batch.
+    /// The sealed batch.
     pub sealed: Sealed,
 }
 
-/// Takes records from the control thread; clones share one buffer.
+/// Buffer that the control thread writes records to; clones share the same records.
 #[derive(Clone, Debug, Default)]
 pub struct Buffer {
-    inner: Arc<Mutex<Waiting>>,
+    inner: Arc<Mutex<Buffered>>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffered {
     records: Vec<Record>,
     lost: u64,
 }
 
-/// The end of a process's chain that isn't in the log yet.
+/// The part of a process's chain that isn't confirmed to be in the log yet.
 #[derive(Debug)]
 pub struct Outbox {
     process: Process,
     buffer: Buffer,
-    /// Number and digest of the last sealed batch, and when it was sealed.
+    /// Number of the last sealed batch; 0 before the first.
     sequence: Sequence,
+    /// Digest of the last sealed batch; all zeros before the first.
     previous: Digest,
+    /// When the last batch was sealed, or when the chain was started.
     since: SystemTime,
-    /// Sealed batches in their order.
-    kept: VecDeque<Kept>,
+    /// Sealed batches in the order of their numbers.
+    unconfirmed: VecDeque<Unconfirmed>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Unconfirmed {
     handed: Handed,
+    /// Number of records in the batch.
     records: usize,
-    /// Until when somebody is trying to append it.
-    leased: Option<Instant>,
+    /// End of the lease of the caller that is appending the batch; `None` if it was never leased.
+    leased_until: Option<Instant>,
 }
 
-/// Starts a chain with nothing in it.
+/// Starts an empty chain at a point in time.
 pub fn open(process: Process, at: SystemTime) -> Outbox {
     let buffer = Buffer::default();
     let previous = Digest::default();
-    Outbox { process, buffer, sequence: 0, previous, since: at, kept: VecDeque::new() }
+    Outbox { process, buffer, sequence: 0, previous, since: at, unconfirmed: VecDeque::new() }
 }
 
 impl Buffer {
-    /// Adds a record, or counts it as lost where there is no room.
+    /// Adds a record, or counts it as lost if the buffer is full.
     pub fn push(&self, at: SystemTime, fact: Fact) {
-        let mut waiting = self.lock();
-        match waiting.records.len() < BUFFER_LIMIT {
-            true => waiting.records.push(Record { at, fact }),
-            false => waiting.lost += 1,
+        let mut buffered = self.lock();
+        match buffered.records.len() < BUFFERED_RECORD_LIMIT {
+            true => buffered.records.push(Record { at, fact }),
+            false => buffered.lost += 1,
         }
     }
 
-    fn take(&self) -> Waiting {
+    fn take_all(&self) -> Buffered {
         std::mem::take(&mut self.lock())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
+    fn lock(&self) -> MutexGuard<'_, Buffered> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Outbox {
-    /// Where records go in.
+    /// Returns the buffer that records are written to.
     pub fn buffer(&self) -> Buffer {
         self.buffer.clone()
     }
 
-    /// When the last batch was sealed, or the chain began.
+    /// Returns when the last batch was sealed, or when the chain was started if there is none.
     pub fn sealed(&self) -> SystemTime {
         self.since
     }
 
-    /// Whether everything is in the log.
+    /// Returns whether all records are confirmed to be in the log.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty() && self.buffer.lock().records.is_empty()
+        self.unconfirmed.is_empty() && self.buffer.lock().records.is_empty()
     }
 
-    /// Seals what was recorded, even nothing, so that silence can be told from a loss. Where too
-    /// much is kept already the records wait on.
+    /// Seals the buffered records into batches. A batch is sealed even if there are no records, so
+    /// that an idle process can be distinguished from missing batches. At the limit of unconfirmed
+    /// records nothing is sealed and the records stay in the buffer.
     pub fn seal(&mut self, at: SystemTime) {
-        let kept: usize = self.kept.iter().map(|kept| kept.records).sum();
-        if kept >= KEPT_LIMIT {
+        let unconfirmed: usize = self.unconfirmed.iter().map(|batch| batch.records).sum();
+        if unconfirmed >= UNCONFIRMED_RECORD_LIMIT {
             return;
         }
-        let Waiting { mut records, mut lost } = self.buffer.take();
+        let Buffered { mut records, mut lost } = self.buffer.take_all();
         let since = self.since;
         loop {
-            let rest = records.split_off(records.len().min(BATCH_LIMIT));
-            self.keep(since, at, lost, records);
+            let rest = records.split_off(records.len().min(BATCH_RECORD_LIMIT));
+            self.add_sealed(since, at, lost, records);
             if rest.is_empty() {
                 return;
             }
-            // All parts cover the whole time: a part that is missing could hide any of it.
+            // All parts cover the whole period, because a missing part could contain any of its
+            // records.
             (records, lost) = (rest, 0);
         }
     }
 
-    fn keep(&mut self, since: SystemTime, at: SystemTime, lost: u64, records: Vec<Record>) {
+    fn add_sealed(&mut self, since: SystemTime, at: SystemTime, lost: u64, records: Vec<Record>) {
         let batch = Batch {
             schema: SCHEMA,
             process: self.process.clone(),
@@ -141,21 +148,29 @@
         self.previous = sealed.digest;
         self.since = at;
         let handed = Handed { sequence: batch.sequence, sealed };
-        self.kept.push_back(Kept { handed, records: batch.records.len(), leased: None });
+        self.unconfirmed.push_back(Unconfirmed {
+            handed,
+            records: batch.records.len(),
+            leased_until: None,
+        });
     }
 
-    /// Gives the batches that nobody is appending, and leases them to the caller.
+    /// Returns the batches that no other caller is appending, and leases them to the caller. A
+    /// batch that isn't confirmed within the lease is returned again.
     pub fn hand_over(&mut self, now: Instant, lease: Duration) -> Vec<Handed> {
-        let free = self.kept.iter_mut().filter(|k| k.leased.is_none_or(|until| until <= now));
-        let lease = |kept: &mut Kept| {
-            kept.leased = Some(now + lease);
-            kept.handed.clone()
+        let free = self
+            .unconfirmed
+            .iter_mut()
+            .filter(|batch| batch.leased_until.is_none_or(|until| until <= now));
+        let lease = |batch: &mut Unconfirmed| {
+            batch.leased_until = Some(now + lease);
+            batch.handed.clone()
         };
         free.map(lease).collect()
     }
 
-    /// Forgets batches that are in the log.
+    /// Removes batches that are in the log.
     pub fn confirm(&mut self, sequences: &[Sequence]) {
-        self.kept.retain(|kept| !sequences.contains(&kept.handed.sequence));
+        self.unconfirmed.retain(|batch| !sequences.contains(&batch.handed.sequence));
     }
 }
--- a/components/evidence/src/read.rs
+++ b/components/evidence/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads the stream of evidence from the platform's log.
+//! Reads the `evidence` stream from the platform's log.
 
 use std::time::{Duration, SystemTime};
 
@@ -7,41 +7,41 @@
 
 use crate::history::{self, Flaw, Gap, History, Read, Span};
 
-/// Most records of one read.
-const PAGE: usize = 100;
-/// Smallest step of the times in records.
-const TICK: Duration = Duration::from_millis(1);
+/// Limit on the records that one request to the log returns.
+const PAGE_RECORD_LIMIT: usize = 100;
+/// Resolution of the times in records.
+const TIME_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// What to read and to judge.
+/// Range of the stream to read and time span to audit.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Range {
-    /// First offset; the oldest that is kept where absent.
+    /// First offset to read; `None` is the oldest offset that the log still has.
     pub first: Option<Offset>,
-    /// Last offset; the newest where absent.
+    /// Last offset to read; `None` is the newest one.
     pub last: Option<Offset>,
-    /// Time to judge.
+    /// Time span to audit.
     pub span: Span,
 }
 
-/// What was read, and the time that can be judged by it.
+/// The records that were read, and the time span that they allow to audit.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Scope {
-    /// Everything that was read.
+    /// Chains and gaps that were read.
     pub history: History,
-    /// The time.
+    /// Time span to audit.
     pub span: Span,
 }
 
-/// Reads a range to its end.
+/// Reads a range of the stream to its end.
 ///
-/// Where the stream isn't read from its start and no start time is asked for, the time that is
-/// judged begins where every chain that goes back further has its first batch.
+/// If the stream isn't read from its start and the range has no start time, the audited time begins
+/// after the start of the first readable batch of every chain that began before the range.
 pub async fn read(log: &log::Client, range: Range) -> Result<Scope, log::Error> {
     let mut next = range.first.unwrap_or(1);
     let mut expired = None;
     let mut reads = Vec::new();
     loop {
-        let page = match log.read(source::EVIDENCE, next, PAGE, Duration::ZERO).await {
+        let page = match log.read(source::EVIDENCE, next, PAGE_RECORD_LIMIT, Duration::ZERO).await {
             Ok(page) => page,
             Err(log::Error::Expired(first)) if first > next => {
                 expired = Some(first);
@@ -50,8 +50,9 @@
             }
             Err(error) => return Err(error),
         };
-        let wanted = |record: &log::Record| range.last.is_none_or(|last| record.offset <= last);
-        let records = page.records.into_iter().filter(wanted);
+        let is_in_range =
+            |record: &log::Record| range.last.is_none_or(|last| record.offset <= last);
+        let records = page.records.into_iter().filter(is_in_range);
         reads.extend(records.map(|r| Read { offset: r.offset, payload: r.payload }));
         let read_to = reads.last().map_or(next, |read: &Read| read.offset + 1);
         let is_last = range.last.is_some_and(|last| read_to > last);
@@ -62,13 +63,14 @@
     }
 }
 
-/// Puts together what was read; `expired` is the oldest offset where earlier ones are gone.
+/// Assembles the records that were read. `expired` is the oldest offset that the log has, if older
+/// ones were deleted; `None` if nothing was deleted.
 pub fn scope(reads: Vec<Read>, expired: Option<Offset>, range: Range) -> Scope {
     let mut history = history::assemble(reads);
     let mut span = range.span;
-    let begin = begin(&history);
+    let begin = complete_from(&history);
     if span.from.is_none() && (expired.is_some() || range.first.is_some()) {
-        span.from = begin.map(|begin| begin + TICK);
+        span.from = begin.map(|begin| begin + TIME_RESOLUTION);
     }
     if let Some(first) = expired {
         let span = Span { from: None, to: begin };
@@ -77,9 +79,10 @@
     Scope { history, span }
 }
 
-/// From when on every chain has evidence that began before what was read.
-fn begin(history: &History) -> Option<SystemTime> {
+/// Returns the time from which on all chains that started before the range have evidence; `None` if
+/// there are no such chains.
+fn complete_from(history: &History) -> Option<SystemTime> {
     let firsts = history.chains.iter().filter_map(|chain| chain.batches.first());
-    let later = firsts.filter(|placed| placed.batch.sequence > 1);
-    later.map(|placed| placed.batch.since).max()
+    let truncated = firsts.filter(|stored| stored.batch.sequence > 1);
+    truncated.map(|stored| stored.batch.since).max()
 }
--- a/components/evidence/src/record.rs
+++ b/components/evidence/src/record.rs
@@ -1,7 +1,8 @@
-//! Records: what one process decided or saw.
+//! Records of the decisions and observations of one process.
 //!
-//! A request leaves one record at its entry and one at the agent that ran it, both at its end, so
-//! that the bytes of evidence stay within the budget of control.
+//! For each request, its entry process writes one record and the agent that ran it writes one. Both
+//! are written at the end of the request, so that the bytes of evidence stay within the budget for
+//! control traffic.
 
 use std::time::SystemTime;
 
@@ -13,83 +14,84 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{TimestampMilliSeconds, serde_as};
 
-/// Leading half of the BLAKE3 hash over an answer's bytes.
+/// First 16 bytes of the BLAKE3 hash of an answer's bytes.
 pub type AnswerDigest = u128;
 
-/// Takes the digest of an answer out of the hash over all its bytes.
+/// Returns the digest of an answer from the hash of all its bytes.
 pub fn answer_digest(hash: &blake3::Hash) -> AnswerDigest {
     let (leading, _) = hash.as_bytes().split_at(size_of::<AnswerDigest>());
     AnswerDigest::from_be_bytes(leading.try_into().expect("it was split at this length"))
 }
 
-/// One record.
+/// A fact and the time at which a process recorded it.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// When it was written, by the clock of its process; whole milliseconds.
+    /// When the record was written, by the clock of the process, in whole milliseconds.
     #[serde(rename = "at_ms")]
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub at: SystemTime,
-    /// What it says.
+    /// Content of the record.
     pub fact: Fact,
 }
 
-/// What a record says.
+/// Content of a record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fact {
-    /// By an entry: a request is over.
+    /// Written by an entry process: a request ended.
     Request(Request),
-    /// By an agent: the target is done with a request that was sent to it.
+    /// Written by an agent, or by an entry process that dispatches straight to targets: a run of a
+    /// request at a target ended.
     Run(Run),
-    /// By an agent: a waiting reservation lost its place.
+    /// Written by an agent: a waiting reservation was evicted from the queue.
     Eviction(Eviction),
-    /// By an entry: something is leaving, or isn't any more.
+    /// Written by an entry process: a host or target began to leave, or came back.
     Departure(Departure),
-    /// By any process: it takes no new work from here on.
+    /// Written by any process: from here on it accepts no new requests.
     Draining,
-    /// By any process: its last record.
+    /// Written by any process as the last record of its chain.
     Closed {
-        /// Requests that were still in progress; a graceful shutdown leaves none.
+        /// Number of requests that were still in progress; 0 after a graceful shutdown.
         open: u32,
     },
-    /// By an entry: the configuration up to this offset is in force here.
+    /// Written by an entry process: it applied the configuration up to an offset.
     Applied {
-        /// The offset.
+        /// Offset in the configuration log.
         offset: Offset,
     },
 }
 
-/// A request at its entry, from its arrival to its end.
+/// A request as its entry process handled it, from arrival to end.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its client account; empty where it isn't known.
+    /// Client account of the request; empty if unknown.
     pub account: AccountName,
-    /// Rank of its tier, where it is known.
+    /// Rank of the request's tier; `None` if unknown.
     pub rank: Option<Rank>,
-    /// The hash of its account and idempotency key, where it has one.
+    /// Hash of the account and the idempotency key; `None` if the request has no idempotency key.
     pub claim: Option<ClaimKey>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// When it arrived.
+    /// When the request arrived.
     #[serde(rename = "arrived_ms")]
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub arrived: SystemTime,
-    /// Reservations under which it was told to start, in their order.
+    /// Reservations that the request was started under, in order.
     pub starts: Vec<Start>,
-    /// How it ended.
+    /// How the request ended for its caller.
     pub outcome: Outcome,
 }
 
-/// A reservation under which a request was told to start.
+/// A reservation that a request was started under.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Start {
-    /// Which of the request's reservations.
+    /// Number of the reservation among those of the request.
     pub attempt: u32,
-    /// Where.
+    /// Target of the reservation.
     pub target: TargetName,
 }
 
@@ -97,67 +99,69 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Its answer was whole.
+    /// The caller received a complete answer.
     Whole {
-        /// Hash over the answer.
+        /// Digest of the answer.
         digest: AnswerDigest,
     },
-    /// It was refused, or its answer was torn.
+    /// The request was refused, or its answer broke off.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// What the caller was told.
+        /// Whether the request ran, as reported to the caller.
         ran: Ran,
-        /// Where it was refused for want of room: the lowest tier that went on waiting in this
-        /// process for the same pool, if any did.
+        /// Rank of the lowest tier that stayed in this process's queue for the same pool, if the
+        /// request was refused for lack of capacity; `None` if the queue was empty or the refusal
+        /// has another reason.
         left_waiting: Option<Rank>,
     },
-    /// Its caller went away.
+    /// The caller closed the connection before the end.
     Abandoned,
 }
 
-/// A request at the agent that sent it to its target.
+/// One run of a request, as recorded by the agent or entry process that sent the request to the
+/// target.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Run {
-    /// The reservation.
+    /// Reservation of the run.
     pub id: Id,
-    /// When it was sent.
+    /// When the request was sent to the target.
     #[serde(rename = "started_ms")]
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub started: SystemTime,
-    /// Whether it ran.
+    /// Whether the target ran the request.
     pub ran: Ran,
-    /// Hash over the answer, where it was whole.
+    /// Digest of the answer; `None` if the answer wasn't complete.
     pub digest: Option<AnswerDigest>,
 }
 
-/// A reservation that was evicted.
+/// A waiting reservation that was evicted from an agent's queue.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Eviction {
-    /// The reservation.
+    /// Reservation that was evicted.
     pub id: Id,
-    /// Rank of its tier.
+    /// Rank of the reservation's tier.
     pub rank: Rank,
-    /// Lowest tier that went on waiting.
+    /// Rank of the lowest tier that stayed in the queue; `None` if the queue was empty.
     pub left_waiting: Option<Rank>,
 }
 
-/// Something that leaves, or comes back.
+/// A host or target that began to leave or came back.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Departure {
-    /// What.
+    /// The host or target.
     pub subject: Subject,
-    /// Whether it leaves; else it is back.
+    /// Whether the subject is leaving; `false` means that it came back.
     pub leaving: bool,
 }
 
-/// What may leave.
+/// A host or target that a departure concerns.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Subject {
-    /// A host, by the platform's list.
+    /// A host, according to the platform's list of hosts.
     Host(HostName),
-    /// A target, by the operators' configuration.
+    /// A target, according to the operators' configuration.
     Target(TargetName),
 }
--- a/components/evidence/src/recorder/agent.rs
+++ b/components/evidence/src/recorder/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's reducer with its evidence.
+//! Runs the agent's reducer and derives the facts to record from its events and effects.
 
 use std::{
     collections::BTreeMap,
@@ -14,21 +14,21 @@
 
 use crate::record::{AnswerDigest, Eviction, Fact, Run};
 
-/// What one event came to.
+/// Result of reducing one event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// What has to be done.
+    /// Effects to execute.
     pub effects: Vec<Effect>,
-    /// What has to be recorded.
+    /// Facts to record.
     pub facts: Vec<Fact>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Finish {
-    /// Whether it ran.
+    /// Whether the target ran the request.
     pub ran: Ran,
-    /// Hash over the answer, where it was whole.
+    /// Digest of the answer; `None` if the answer wasn't complete.
     pub digest: Option<AnswerDigest>,
 }
 
@@ -38,18 +38,19 @@
     }
 }
 
-/// What is remembered until a fact is whole.
+/// State from which facts are completed: a fact is recorded only when all of its fields are known.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
-    /// Tiers of reservations that wait.
+    /// Rank of the tier of each waiting reservation.
     waiting: BTreeMap<Id, Rank>,
-    /// Runs that haven't ended, and when each was sent.
+    /// Runs that haven't ended, with the time at which the request was sent to the target.
     running: BTreeMap<Id, SystemTime>,
-    /// What came of runs whose end is still to be reduced.
+    /// Results of runs whose `Event::Ended` hasn't been reduced yet.
     finished: BTreeMap<Id, Finish>,
 }
 
-/// Takes one event in; gives its effects and the facts that they make.
+/// Reduces one event and returns its effects and the facts to record. `at` is the wall-clock time
+/// of the event.
 pub fn reduce(
     recorder: &mut Recorder,
     state: &mut State,
@@ -58,28 +59,28 @@
     event: Event,
 ) -> Step {
     let mut facts = Vec::new();
-    recorder.before(&event, &mut facts);
+    recorder.record_event(&event, &mut facts);
     let effects = agent::reduce(state, now, event);
     for effect in &effects {
-        recorder.follow(state, at, effect, &mut facts);
+        recorder.record_effect(state, at, effect, &mut facts);
     }
     Step { effects, facts }
 }
 
 impl Recorder {
-    /// Tells what came of a run; its record follows with `Event::Ended`.
+    /// Sets the result of a run. The run is recorded when its `Event::Ended` is reduced.
     pub fn finished(&mut self, id: Id, finish: Finish) {
         if self.running.contains_key(&id) {
             self.finished.insert(id, finish);
         }
     }
 
-    /// The last fact of a process.
+    /// Returns the fact that closes the chain of the process.
     pub fn close(&self) -> Fact {
         Fact::Closed { open: self.running.len().try_into().unwrap_or(u32::MAX) }
     }
 
-    fn before(&mut self, event: &Event, facts: &mut Vec<Fact>) {
+    fn record_event(&mut self, event: &Event, facts: &mut Vec<Fact>) {
         match event {
             Event::Reserve(ask) => {
                 self.waiting.insert(ask.id, ask.rank);
@@ -99,7 +100,13 @@
         }
     }
 
-    fn follow(&mut self, state: &State, at: SystemTime, effect: &Effect, facts: &mut Vec<Fact>) {
+    fn record_effect(
+        &mut self,
+        state: &State,
+        at: SystemTime,
+        effect: &Effect,
+        facts: &mut Vec<Fact>,
+    ) {
         match effect {
             Effect::Grant { id, .. } => {
                 self.waiting.remove(id);
--- a/components/evidence/src/recorder/entry.rs
+++ b/components/evidence/src/recorder/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's reducer with its evidence.
+//! Runs the entry process's reducer and derives the facts to record from its events and effects.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,35 +20,36 @@
 
 use crate::record::{Departure, Fact, Outcome, Request, Start, Subject};
 
-/// What one event came to.
+/// Result of reducing one event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// What has to be done.
+    /// Effects to execute.
     pub effects: Vec<Effect>,
-    /// What has to be recorded.
+    /// Facts to record.
     pub facts: Vec<Fact>,
 }
 
-/// What is remembered until a fact is whole.
+/// State from which facts are completed: a fact is recorded only when all of its fields are known.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
-    /// Requests that haven't ended.
-    open: BTreeMap<RequestId, Open>,
-    /// What is known to leave.
+    /// Requests that haven't ended yet.
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Hosts and targets that are leaving.
     leaving: BTreeSet<Subject>,
-    /// Offset that was last recorded.
+    /// Offset of the configuration that was recorded last; 0 before the first.
     applied: Offset,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenRequest {
     request: Request,
     pool: Option<PoolName>,
-    /// How its answer ended, where that is known.
-    ended: Option<Outcome>,
+    /// How the request ended; `None` until it is known.
+    outcome: Option<Outcome>,
 }
 
-/// Takes one event in; gives its effects and the facts that they make.
+/// Reduces one event and returns its effects and the facts to record. `at` is the wall-clock time
+/// of the event.
 pub fn reduce(
     recorder: &mut Recorder,
     state: &mut State,
@@ -57,10 +58,10 @@
     event: Event,
 ) -> Step {
     let mut facts = Vec::new();
-    recorder.before(state, at, &event, &mut facts);
+    recorder.record_event(state, at, &event, &mut facts);
     let effects = entry::reduce(state, now, event);
     for effect in &effects {
-        recorder.follow(state, effect, &mut facts);
+        recorder.record_effect(state, effect, &mut facts);
     }
     let applied = state.config().applied();
     if applied != recorder.applied {
@@ -71,96 +72,106 @@
 }
 
 impl Recorder {
-    /// Tells how the answer to a started request ended; its record follows with `Event::Ended`.
+    /// Sets the outcome of a started request. The request is recorded when its `Event::Ended` is
+    /// reduced.
     pub fn ended(&mut self, request: RequestId, outcome: Outcome) {
         if let Some(open) = self.open.get_mut(&request) {
-            open.ended = Some(outcome);
+            open.outcome = Some(outcome);
         }
     }
 
-    /// The last fact of a process.
+    /// Returns the fact that closes the chain of the process.
     pub fn close(&self, state: &State) -> Fact {
         Fact::Closed { open: state.len().try_into().unwrap_or(u32::MAX) }
     }
 
-    fn before(&mut self, state: &State, at: SystemTime, event: &Event, facts: &mut Vec<Fact>) {
+    fn record_event(
+        &mut self,
+        state: &State,
+        at: SystemTime,
+        event: &Event,
+        facts: &mut Vec<Fact>,
+    ) {
         match event {
             Event::Arrived(request) => {
-                self.open.insert(request.id, open(state.config(), at, request));
+                self.open.insert(request.id, open_request(state.config(), at, request));
             }
             Event::Ended { request } => {
                 if let Some(open) = self.open.remove(request) {
-                    let outcome = open.ended.unwrap_or(Outcome::Abandoned);
+                    let outcome = open.outcome.unwrap_or(Outcome::Abandoned);
                     facts.push(Fact::Request(Request { outcome, ..open.request }));
                 }
             }
-            Event::Hosts(hosts) => self.list(hosts, facts),
+            Event::Hosts(hosts) => self.record_hosts(hosts, facts),
             Event::Drain => facts.push(Fact::Draining),
             _ => {}
         }
     }
 
-    fn follow(&mut self, state: &State, effect: &Effect, facts: &mut Vec<Fact>) {
+    fn record_effect(&mut self, state: &State, effect: &Effect, facts: &mut Vec<Fact>) {
         match effect {
             Effect::Start(start) => {
                 if let Some(open) = self.open.get_mut(&start.id.request) {
-                    own(&mut open.request, state.config(), &start.owner);
+                    set_owner(&mut open.request, state.config(), &start.owner);
                     let target = start.target.clone();
                     open.request.starts.push(Start { attempt: start.id.attempt, target });
                 }
             }
             Effect::Refuse { request, owner, refusal } => {
                 if let Some(open) = self.open.remove(request) {
-                    facts.push(refused(state, open, owner, refusal));
+                    facts.push(refused_fact(state, open, owner, refusal));
                 }
             }
             Effect::Applied(config::Step {
                 outcome: config::Outcome::Accepted(_), action, ..
             }) => {
-                self.change(action.as_ref(), facts);
+                self.record_change(action.as_ref(), facts);
             }
             Effect::Restored(_) => {
-                let targets: Vec<&Target> =
-                    state.config().list(Kind::Target).filter_map(|v| target(&v.resource)).collect();
+                let targets: Vec<&Target> = state
+                    .config()
+                    .list(Kind::Target)
+                    .filter_map(|v| as_target(&v.resource))
+                    .collect();
                 for target in targets {
-                    self.target(target, facts);
+                    self.record_target(target, facts);
                 }
             }
             _ => {}
         }
     }
 
-    fn list(&mut self, hosts: &[Host], facts: &mut Vec<Fact>) {
+    fn record_hosts(&mut self, hosts: &[Host], facts: &mut Vec<Fact>) {
         let leaving = hosts.iter().filter(|host| host.state == host::State::Leaving);
         let leaving: BTreeSet<&str> = leaving.map(|host| host.name.as_str()).collect();
-        let back = self.leaving.iter().filter(
+        let returned = self.leaving.iter().filter(
             |subject| matches!(subject, Subject::Host(name) if !leaving.contains(name.as_str())),
         );
-        for subject in back.cloned().collect::<Vec<_>>() {
-            self.depart(subject, false, facts);
+        for subject in returned.cloned().collect::<Vec<_>>() {
+            self.record_departure(subject, false, facts);
         }
         for name in leaving {
-            self.depart(Subject::Host(name.to_owned()), true, facts);
+            self.record_departure(Subject::Host(name.to_owned()), true, facts);
         }
     }
 
-    fn change(&mut self, action: Option<&Action>, facts: &mut Vec<Fact>) {
+    fn record_change(&mut self, action: Option<&Action>, facts: &mut Vec<Fact>) {
         match action {
-            Some(Action::Put(Resource::Target(target))) => self.target(target, facts),
+            Some(Action::Put(Resource::Target(target))) => self.record_target(target, facts),
             Some(Action::Delete(key)) if key.kind == Kind::Target => {
-                self.depart(Subject::Target(key.name.clone()), true, facts);
+                self.record_departure(Subject::Target(key.name.clone()), true, facts);
             }
             _ => {}
         }
     }
 
-    fn target(&mut self, target: &Target, facts: &mut Vec<Fact>) {
+    fn record_target(&mut self, target: &Target, facts: &mut Vec<Fact>) {
         let leaving = target.desired != Desired::Serving;
-        self.depart(Subject::Target(target.name.clone()), leaving, facts);
+        self.record_departure(Subject::Target(target.name.clone()), leaving, facts);
     }
 
-    /// Records a change; what is known already is recorded once.
-    fn depart(&mut self, subject: Subject, leaving: bool, facts: &mut Vec<Fact>) {
+    /// Records that a subject began to leave or came back, unless that is already recorded.
+    fn record_departure(&mut self, subject: Subject, leaving: bool, facts: &mut Vec<Fact>) {
         let changed = match leaving {
             true => self.leaving.insert(subject.clone()),
             false => self.leaving.remove(&subject),
@@ -171,7 +182,11 @@
     }
 }
 
-fn open(config: &config::State, arrived: SystemTime, request: &entry::Request) -> Open {
+fn open_request(
+    config: &config::State,
+    arrived: SystemTime,
+    request: &entry::Request,
+) -> OpenRequest {
     let pool = match &request.call {
         Some(Call::Completion(model)) => config.pool_of_model(model),
         Some(Call::Service(name)) => config.pool(name),
@@ -192,27 +207,28 @@
         starts: Vec::new(),
         outcome: Outcome::Abandoned,
     };
-    Open { request: record, pool: pool.map(|pool| pool.name.clone()), ended: None }
+    OpenRequest { request: record, pool: pool.map(|pool| pool.name.clone()), outcome: None }
 }
 
-fn refused(state: &State, open: Open, owner: &Owner, refusal: &Refusal) -> Fact {
+fn refused_fact(state: &State, open: OpenRequest, owner: &Owner, refusal: &Refusal) -> Fact {
     let mut request = open.request;
-    own(&mut request, state.config(), owner);
+    set_owner(&mut request, state.config(), owner);
     let pool = open.pool.filter(|_| refusal.reason == Reason::Overloaded);
     let left_waiting = pool.and_then(|pool| state.lowest_waiting_for(&pool));
     let outcome = Outcome::Refused { reason: refusal.reason, ran: refusal.ran, left_waiting };
     Fact::Request(Request { outcome, ..request })
 }
 
-/// Fills in what the reducer found out about a request.
-fn own(request: &mut Request, config: &config::State, owner: &Owner) {
+/// Sets the rank, and the account if it is still unknown, which the reducer determined for a
+/// request.
+fn set_owner(request: &mut Request, config: &config::State, owner: &Owner) {
     request.rank = config.tier(&owner.tier).map(|tier| tier.rank);
     if request.account.is_empty() {
         request.account.clone_from(&owner.account);
     }
 }
 
-fn target(resource: &Resource) -> Option<&Target> {
+fn as_target(resource: &Resource) -> Option<&Target> {
     match resource {
         Resource::Target(target) => Some(target),
         _ => None,
--- a/components/evidence/src/recorder/mod.rs
+++ b/components/evidence/src/recorder/mod.rs
@@ -1,4 +1,5 @@
-//! Reduces an event and tells the facts that its effects make: decisions and evidence can't part.
+//! Reducers combined with the recording of evidence. The facts are derived from the same events and
+//! effects as the decisions, so the evidence can't deviate from what was decided.
 
 pub mod agent;
 pub mod entry;
--- a/components/evidence/tests/outbox.rs
+++ b/components/evidence/tests/outbox.rs
@@ -7,7 +7,7 @@
 use evidence::{
     Batch, Fact, batch,
     history::{self, Flaw, Read},
-    outbox::{self, BATCH_LIMIT, BUFFER_LIMIT, Handed, KEPT_LIMIT},
+    outbox::{self, BATCH_RECORD_LIMIT, BUFFERED_RECORD_LIMIT, Handed, UNCONFIRMED_RECORD_LIMIT},
 };
 use support::at;
 
@@ -50,7 +50,7 @@
 #[test]
 fn a_long_outage_costs_bounded_memory_and_leaves_a_gap_that_is_told() {
     let mut outbox = open();
-    let records = BUFFER_LIMIT + KEPT_LIMIT + 1_000;
+    let records = BUFFERED_RECORD_LIMIT + UNCONFIRMED_RECORD_LIMIT + 1_000;
 
     for number in 0..records {
         outbox.buffer().push(at(1), applied(number));
@@ -65,8 +65,8 @@
     let rest = outbox.hand_over(Instant::now(), LEASE);
     let batches = unsealed(&rest);
 
-    assert!(kept < KEPT_LIMIT + BUFFER_LIMIT);
-    assert!(batches.iter().all(|batch| batch.records.len() <= BATCH_LIMIT));
+    assert!(kept < UNCONFIRMED_RECORD_LIMIT + BUFFERED_RECORD_LIMIT);
+    assert!(batches.iter().all(|batch| batch.records.len() <= BATCH_RECORD_LIMIT));
     let late: usize = batches.iter().map(|batch| batch.records.len()).sum();
     let told = kept + late + batches[0].lost as usize;
     assert_eq!(told, records);
