--- a/components/evidence/tests/chain.rs
+++ b/components/evidence/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Chains: lost, forged, doubled, reordered and unfinished ones.
+//! Checks that lost, forged, duplicated, reordered and unfinished chains are detected.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use support::Writer;
 
-/// A closed chain of five batches with one record each.
+/// Returns a closed chain of five batches with one record each.
 fn chain() -> Writer {
     let mut agent = support::agent("t1");
     for number in 0..4_u64 {
@@ -30,6 +30,7 @@
     history::assemble(stream).gaps.into_iter().map(|gap| gap.flaw).collect()
 }
 
+/// Returns the verdicts on the rules `DispatchedOnce` and `Evidence`.
 fn verdicts(batches: Vec<Sealed>) -> (Verdict, Verdict) {
     let report = audit(&history::assemble(support::reads(batches)), Span::default());
     let verdict = |rule| report.finding(rule).unwrap().verdict;
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_whole_chain_has_no_flaw() {
+fn a_complete_chain_has_no_flaw() {
     let batches = chain().seal();
 
     assert_eq!(flaws(batches.clone()), []);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_lost_batch_is_a_gap() {
+fn a_missing_batch_is_a_gap() {
     let mut batches = chain().seal();
     batches.remove(2);
 
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn records_that_found_no_room_are_a_gap() {
+fn records_that_the_full_buffer_dropped_are_a_gap() {
     let mut agent = chain();
     agent.batches[2].lost = 7;
 
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_batch_whose_content_was_changed_is_forged() {
+fn a_batch_whose_content_does_not_match_its_digest_is_forged() {
     let agent = chain();
     let mut changed = agent.clone();
     changed.batches[2].records.clear();
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn a_batch_that_was_replaced_with_its_digest_breaks_the_chain() {
+fn a_batch_that_was_replaced_together_with_its_digest_breaks_the_chain() {
     let agent = chain();
     let mut changed = agent.clone();
     changed.batches[2].records.clear();
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn a_second_batch_of_the_same_number_is_named() {
+fn two_different_batches_with_the_same_number_are_found() {
     let agent = chain();
     let mut changed = agent.clone();
     changed.batches[2].records.clear();
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn a_process_that_fell_silent_is_a_gap() {
+fn a_process_that_stopped_without_closing_its_chain_is_a_gap() {
     let mut stopped = chain();
     stopped.batches.pop();
     let mut other = support::agent("t2");
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn a_record_of_the_stream_that_is_no_envelope_is_forged() {
+fn a_record_of_the_stream_that_is_not_an_envelope_is_forged() {
     let mut stream = support::stream(&[chain()]);
     stream.push(Read { offset: 6, payload: "{\"batches\": 7}".to_owned() });
 
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn several_batches_may_stand_in_one_record() {
+fn one_record_may_contain_several_batches() {
     let envelope = Envelope { batches: chain().seal() };
     let payload = serde_json::to_string(&envelope).unwrap();
 
--- a/components/evidence/tests/differential.rs
+++ b/components/evidence/tests/differential.rs
@@ -1,4 +1,5 @@
-//! The audit against a naive checker that compares all records with all others.
+//! Compares the audit of random histories with a naive checker that compares each record with all
+//! others.
 
 mod support;
 
@@ -22,8 +23,10 @@
 use support::{Writer, at};
 use uuid::Uuid;
 
-const CASES: u32 = 400;
-const END: u64 = 40_000;
+/// Number of random histories; the environment variable `WAGTAILHILL_CASES` overrides it.
+const DEFAULT_CASES: u32 = 400;
+/// End of all histories, in ms after their start.
+const END_MS: u64 = 40_000;
 const RULES: [Rule; 8] = [
     Rule::DispatchedOnce,
     Rule::TierOrder,
@@ -35,18 +38,21 @@
     Rule::Configuration,
 ];
 
-/// Facts of one process with their times, and whether its first batch is lost.
+/// Facts that one process recorded.
 #[derive(Clone, Debug)]
-struct Part {
+struct ProcessFacts {
+    /// Facts with their times in ms after the start of the history.
     facts: Vec<(u64, Fact)>,
+    /// Requests in progress when the process closed its chain.
     open: u32,
-    lost: bool,
+    /// Whether the first of the two batches is missing from the stream.
+    is_first_batch_lost: bool,
 }
 
 fn config() -> Config {
     let cases = std::env::var("WAGTAILHILL_CASES").ok().and_then(|cases| cases.parse().ok());
     Config {
-        cases: cases.unwrap_or(CASES),
+        cases: cases.unwrap_or(DEFAULT_CASES),
         failure_persistence: None,
         rng_seed: RngSeed::Fixed(7),
         ..Config::default()
@@ -102,7 +108,7 @@
 }
 
 fn agent_fact() -> impl Strategy<Value = Fact> {
-    let run = (0..8_u128, 1..3_u32, 0..END, ran(), prop::option::of(0..2_u128)).prop_map(
+    let run = (0..8_u128, 1..3_u32, 0..END_MS, ran(), prop::option::of(0..2_u128)).prop_map(
         |(number, attempt, started, ran, digest)| {
             let id = Id { request: Uuid::from_u128(number), attempt };
             Fact::Run(Run { id, started: at(started), ran, digest })
@@ -115,37 +121,40 @@
     prop_oneof![8 => run, 1 => eviction, 1 => Just(Fact::Draining)]
 }
 
-fn part(fact: impl Strategy<Value = Fact>) -> impl Strategy<Value = Part> {
-    let facts = prop::collection::vec((0..END, fact), 0..6);
+fn process_facts(fact: impl Strategy<Value = Fact>) -> impl Strategy<Value = ProcessFacts> {
+    let facts = prop::collection::vec((0..END_MS, fact), 0..6);
     (facts, prop::bool::weighted(0.1), prop::bool::weighted(0.15)).prop_map(
-        |(mut facts, open, lost)| {
+        |(mut facts, open, is_first_batch_lost)| {
             facts.sort_by_key(|(millis, _)| *millis);
-            Part { facts, open: open.into(), lost }
+            ProcessFacts { facts, open: open.into(), is_first_batch_lost }
         },
     )
 }
 
-/// A chain of two batches: all facts but the last, and the rest.
-fn write(mut writer: Writer, part: &Part) -> Writer {
-    let half = part.facts.len() / 2;
-    let (first, second) = part.facts.split_at(half);
-    let middle = second.first().map_or(END / 2, |(millis, _)| *millis);
+/// Writes a chain of two batches, each with half of the facts; the second one also closes the
+/// chain.
+fn write(mut writer: Writer, process: &ProcessFacts) -> Writer {
+    let half = process.facts.len() / 2;
+    let (first, second) = process.facts.split_at(half);
+    let middle = second.first().map_or(END_MS / 2, |(millis, _)| *millis);
     writer.batch(middle, first.to_vec());
     let mut rest = second.to_vec();
-    rest.push((END, Fact::Closed { open: part.open }));
-    writer.batch(END + 1, rest);
+    rest.push((END_MS, Fact::Closed { open: process.open }));
+    writer.batch(END_MS + 1, rest);
     writer
 }
 
-/// What is left of the records, flat.
-struct Naive {
+/// A checker that searches all remaining records for each question.
+struct NaiveChecker {
+    /// Records that are in the stream, with their process and time.
     records: Vec<(Process, SystemTime, Fact)>,
-    /// First moment of which each process has evidence.
+    /// Time from which on each process has evidence.
     covered: Vec<(Process, SystemTime)>,
+    /// Roles of the processes whose first batch is missing.
     lost: Vec<Role>,
 }
 
-impl Naive {
+impl NaiveChecker {
     fn requests(&self) -> impl Iterator<Item = (SystemTime, &Request)> {
         self.records.iter().filter_map(|(_, at, fact)| match fact {
             Fact::Request(request) => Some((*at, request)),
@@ -160,6 +169,7 @@
         })
     }
 
+    /// Returns the runs of a request that reached or may have reached a target.
     fn reached(&self, request: Uuid) -> Vec<&Run> {
         let runs = self.runs().map(|(_, run)| run);
         runs.filter(|run| run.id.request == request && run.ran != Ran::NotRun).collect()
@@ -184,8 +194,8 @@
             Rule::WholeAnswers => self.requests().any(|(_, request)| match request.outcome {
                 Outcome::Whole { digest } => {
                     let runs = self.reached(request.request);
-                    let same = runs.iter().any(|run| run.digest == Some(digest));
-                    !same && (!runs.is_empty() || request.starts.is_empty())
+                    let has_answer = runs.iter().any(|run| run.digest == Some(digest));
+                    !has_answer && (!runs.is_empty() || request.starts.is_empty())
                 }
                 _ => false,
             }),
@@ -193,17 +203,18 @@
                 let ran = !self.reached(request.request).is_empty();
                 says_not_run(request) && (ran || self.has_earlier_copy(at, request))
             }),
-            Rule::RunsOnce => self.guarded_claims().any(|claim| self.runs_under(claim) > 1),
+            Rule::RunsOnce => self.at_most_once_claims().any(|claim| self.runs_under(claim) > 1),
             Rule::LeavingTargets => self.runs().any(|(process, run)| self.is_late(process, run)),
             Rule::GracefulShutdown => {
                 self.records.iter().any(|(_, _, fact)| matches!(fact, Fact::Closed { open: 1.. }))
             }
-            Rule::Configuration => self.applies_badly(),
+            Rule::Configuration => self.violates_rollout(),
             Rule::Evidence => !self.lost.is_empty(),
         }
     }
 
-    fn is_unsure(&self, rule: Rule) -> bool {
+    /// Returns whether missing evidence could hide a violation of a rule.
+    fn is_unprovable(&self, rule: Rule) -> bool {
         let lost = match rule {
             Rule::DispatchedOnce => self.lost.contains(&Role::Agent),
             Rule::Configuration => self.lost.contains(&Role::Entry),
@@ -216,10 +227,13 @@
                     && self.reached(request.request).is_empty()
                     && self.is_unwitnessed(at, request)
             }),
-            Rule::NotRun => self.requests().any(|(at, r)| says_not_run(r) && self.is_unseen(at, r)),
+            Rule::NotRun => {
+                self.requests().any(|(at, r)| says_not_run(r) && self.is_uncovered(at, r))
+            }
             Rule::RunsOnce => self.requests().any(|(at, request)| {
-                let guarded = |claim| self.guarded_claims().any(|guarded| guarded == claim);
-                request.claim.is_some_and(guarded) && self.is_unwitnessed(at, request)
+                let is_at_most_once =
+                    |claim| self.at_most_once_claims().any(|other| other == claim);
+                request.claim.is_some_and(is_at_most_once) && self.is_unwitnessed(at, request)
             }),
             _ => false,
         }
@@ -227,14 +241,15 @@
 
     fn has_earlier_copy(&self, at: SystemTime, request: &Request) -> bool {
         self.requests().any(|(_, other)| {
-            let same = other.claim.is_some() && other.claim == request.claim;
-            let copy = same && other.request != request.request;
+            let same_claim = other.claim.is_some() && other.claim == request.claim;
+            let is_copy = same_claim && other.request != request.request;
             let before = |run: &&Run| run.started + Duration::from_secs(3) < at;
-            copy && self.reached(other.request).iter().any(before)
+            is_copy && self.reached(other.request).iter().any(before)
         })
     }
 
-    fn guarded_claims(&self) -> impl Iterator<Item = u128> {
+    /// Returns the claims that have a non-idempotent request.
+    fn at_most_once_claims(&self) -> impl Iterator<Item = u128> {
         self.requests().filter(|(_, request)| !request.idempotent).filter_map(|(_, r)| r.claim)
     }
 
@@ -249,23 +264,25 @@
     }
 
     fn is_unwitnessed(&self, at: SystemTime, request: &Request) -> bool {
-        let promised = match request.outcome {
+        let says_it_ran = match request.outcome {
             Outcome::Whole { .. } => true,
             Outcome::Refused { ran, .. } => ran == Ran::Yes,
             Outcome::Abandoned => false,
         };
-        let without = self.reached(request.request).is_empty() && !request.starts.is_empty();
-        promised && without || self.is_unseen(at, request)
+        let has_no_run = self.reached(request.request).is_empty() && !request.starts.is_empty();
+        says_it_ran && has_no_run || self.is_uncovered(at, request)
     }
 
-    fn is_unseen(&self, at: SystemTime, request: &Request) -> bool {
+    /// Returns whether a start of the request has neither a run nor evidence of its target's agent
+    /// at that time.
+    fn is_uncovered(&self, at: SystemTime, request: &Request) -> bool {
         request.starts.iter().any(|start| {
             let id = Id { request: request.request, attempt: start.attempt };
-            let shown = self.runs().any(|(_, run)| run.id == id);
+            let has_run = self.runs().any(|(_, run)| run.id == id);
             let covers = |(process, from): &(Process, SystemTime)| {
                 process.role == Role::Agent && process.name == start.target && *from <= at
             };
-            !shown && !self.covered.iter().any(covers)
+            !has_run && !self.covered.iter().any(covers)
         })
     }
 
@@ -279,24 +296,26 @@
     }
 
     fn left_before(&self, subject: &Subject, started: SystemTime, limit: Duration) -> bool {
-        let mut told: Vec<(SystemTime, bool)> = Vec::new();
+        let mut changes: Vec<(SystemTime, bool)> = Vec::new();
         for (_, at, fact) in &self.records {
             match fact {
                 Fact::Departure(departure) if departure.subject == *subject && *at <= started => {
-                    told.push((*at, departure.leaving));
+                    changes.push((*at, departure.leaving));
                 }
                 _ => {}
             }
         }
-        told.sort_by_key(|(at, _)| *at);
+        changes.sort_by_key(|(at, _)| *at);
         let mut since = None;
-        for (at, leaving) in told {
+        for (at, leaving) in changes {
             since = if leaving { since.or(Some(at)) } else { None };
         }
         since.is_some_and(|since| since + limit < started)
     }
 
-    fn applies_badly(&self) -> bool {
+    /// Returns whether a process reverted the configuration or applied it more than 7 s after the
+    /// first process.
+    fn violates_rollout(&self) -> bool {
         let applied: Vec<(&Process, SystemTime, u64)> = self
             .records
             .iter()
@@ -307,19 +326,21 @@
             .collect();
         self.covered.iter().any(|(process, _)| {
             let own: Vec<_> = applied.iter().filter(|(other, ..)| *other == process).collect();
-            let back = own.windows(2).any(|pair| pair[1].2 < pair[0].2);
-            back || applied.iter().any(|(_, _, offset)| {
-                let first = applied.iter().filter(|a| a.2 == *offset).map(|a| a.1).min().unwrap();
-                let due = first + Duration::from_secs(7);
-                let began = own.first().is_some_and(|own| own.1 <= first);
-                let reached = own.iter().find(|own| own.2 >= *offset).map(|own| own.1);
-                began && reached.unwrap_or(at(END)) > due
-            })
+            let has_reverted = own.windows(2).any(|pair| pair[1].2 < pair[0].2);
+            has_reverted
+                || applied.iter().any(|(_, _, offset)| {
+                    let first =
+                        applied.iter().filter(|a| a.2 == *offset).map(|a| a.1).min().unwrap();
+                    let deadline = first + Duration::from_secs(7);
+                    let began = own.first().is_some_and(|own| own.1 <= first);
+                    let reached = own.iter().find(|own| own.2 >= *offset).map(|own| own.1);
+                    began && reached.unwrap_or(at(END_MS)) > deadline
+                })
         })
     }
 
     fn verdict(&self, rule: Rule) -> Verdict {
-        match (self.is_violated(rule), self.is_unsure(rule)) {
+        match (self.is_violated(rule), self.is_unprovable(rule)) {
             (true, _) => Verdict::Violated,
             (false, true) => Verdict::NotProvable,
             (false, false) => Verdict::Held,
@@ -331,17 +352,17 @@
     matches!(request.outcome, Outcome::Refused { ran: Ran::NotRun, .. })
 }
 
-/// The stream without its lost batches, and the naive view of the same.
-fn build(parts: &[Part]) -> (Vec<history::Read>, Naive) {
+/// Returns the stream without the lost batches, and a naive checker over the same records.
+fn build(processes: &[ProcessFacts]) -> (Vec<history::Read>, NaiveChecker) {
     let writers = ["e0", "e1"].map(support::entry).into_iter();
     let writers = writers.chain(["t0", "t1"].map(support::agent));
-    let mut naive = Naive { records: Vec::new(), covered: Vec::new(), lost: Vec::new() };
+    let mut naive = NaiveChecker { records: Vec::new(), covered: Vec::new(), lost: Vec::new() };
     let mut sealed = Vec::new();
-    for (writer, part) in writers.zip(parts) {
-        let writer = write(writer, part);
-        let skipped = usize::from(part.lost);
+    for (writer, process) in writers.zip(processes) {
+        let writer = write(writer, process);
+        let skipped = usize::from(process.is_first_batch_lost);
         sealed.extend(writer.seal().into_iter().skip(skipped));
-        if part.lost {
+        if process.is_first_batch_lost {
             naive.lost.push(writer.process.role);
         }
         naive.covered.push((writer.process.clone(), writer.batches[skipped].since));
@@ -356,12 +377,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn every_verdict_is_that_of_the_naive_checker(
-        entries in prop::collection::vec(part(entry_fact()), 2),
-        agents in prop::collection::vec(part(agent_fact()), 2),
+    fn every_verdict_equals_that_of_the_naive_checker(
+        entries in prop::collection::vec(process_facts(entry_fact()), 2),
+        agents in prop::collection::vec(process_facts(agent_fact()), 2),
     ) {
-        let parts: Vec<Part> = entries.into_iter().chain(agents).collect();
-        let (stream, naive) = build(&parts);
+        let processes: Vec<ProcessFacts> = entries.into_iter().chain(agents).collect();
+        let (stream, naive) = build(&processes);
 
         let report = audit(&history::assemble(stream), Span::default());
 
--- a/components/evidence/tests/outbox.rs
+++ b/components/evidence/tests/outbox.rs
@@ -1,4 +1,5 @@
-//! Evidence that waits for the log, in bounded memory.
+//! Checks that evidence that isn't in the log yet is kept in bounded memory, and that losses are
+//! recorded.
 
 mod support;
 
@@ -13,7 +14,7 @@
 
 const LEASE: Duration = Duration::from_secs(30);
 
-fn open() -> outbox::Outbox {
+fn open_outbox() -> outbox::Outbox {
     outbox::open(support::agent("t1").process, at(0))
 }
 
@@ -30,26 +31,30 @@
     history::assemble(stream).gaps.into_iter().map(|gap| gap.flaw).collect()
 }
 
+// Guards against batches that are appended twice at the same time, or never again after a caller
+// failed.
 #[test]
-fn batches_are_handed_over_until_they_are_confirmed() {
-    let mut outbox = open();
+fn batches_are_returned_again_after_their_lease_until_they_are_confirmed() {
+    let mut outbox = open_outbox();
     outbox.buffer().push(at(1), applied(1));
     outbox.seal(at(2));
     let now = Instant::now();
 
     let first = outbox.hand_over(now, LEASE);
-    let leased = outbox.hand_over(now, LEASE);
-    let again = outbox.hand_over(now + LEASE, LEASE);
+    let during_lease = outbox.hand_over(now, LEASE);
+    let after_lease = outbox.hand_over(now + LEASE, LEASE);
     outbox.confirm(&[1]);
 
-    assert_eq!((first.len(), leased.len()), (1, 0));
-    assert_eq!(again, first);
+    assert_eq!((first.len(), during_lease.len()), (1, 0));
+    assert_eq!(after_lease, first);
     assert!(outbox.is_empty());
 }
 
+// Guards against an outbox that grows without limit while the log is unreachable, and against lost
+// records that the next batch doesn't count.
 #[test]
-fn a_long_outage_costs_bounded_memory_and_leaves_a_gap_that_is_told() {
-    let mut outbox = open();
+fn a_long_outage_uses_bounded_memory_and_the_number_of_lost_records_is_recorded() {
+    let mut outbox = open_outbox();
     let records = BUFFERED_RECORD_LIMIT + UNCONFIRMED_RECORD_LIMIT + 1_000;
 
     for number in 0..records {
@@ -59,17 +64,17 @@
         }
     }
     let mut handed = outbox.hand_over(Instant::now(), LEASE);
-    let kept: usize = unsealed(&handed).iter().map(|batch| batch.records.len()).sum();
+    let unconfirmed: usize = unsealed(&handed).iter().map(|batch| batch.records.len()).sum();
     outbox.confirm(&handed.iter().map(|handed| handed.sequence).collect::<Vec<_>>());
     outbox.seal(at(3));
     let rest = outbox.hand_over(Instant::now(), LEASE);
     let batches = unsealed(&rest);
 
-    assert!(kept < UNCONFIRMED_RECORD_LIMIT + BUFFERED_RECORD_LIMIT);
+    assert!(unconfirmed < UNCONFIRMED_RECORD_LIMIT + BUFFERED_RECORD_LIMIT);
     assert!(batches.iter().all(|batch| batch.records.len() <= BATCH_RECORD_LIMIT));
     let late: usize = batches.iter().map(|batch| batch.records.len()).sum();
-    let told = kept + late + batches[0].lost as usize;
-    assert_eq!(told, records);
+    let accounted = unconfirmed + late + batches[0].lost as usize;
+    assert_eq!(accounted, records);
     handed.extend(rest);
     let found = flaws(handed);
     let lost = batches[0].lost;
--- a/components/evidence/tests/support/mod.rs
+++ b/components/evidence/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builds chains record by record.
+//! Builds chains and streams of evidence for tests.
 
 #![allow(dead_code)]
 
@@ -16,12 +16,12 @@
 };
 use uuid::Uuid;
 
-/// A time in milliseconds after the start of all histories.
+/// Returns the time that is a number of milliseconds after the start of all histories.
 pub fn at(millis: u64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000) + Duration::from_millis(millis)
 }
 
-/// One process that writes evidence.
+/// A process that writes evidence, with its batches in the order of their numbers.
 #[derive(Clone, Debug)]
 pub struct Writer {
     pub process: Process,
@@ -43,7 +43,7 @@
 }
 
 impl Writer {
-    /// Adds a batch that ends at a time.
+    /// Adds a batch that is sealed at a time in ms; the facts have times in ms, too.
     pub fn batch(&mut self, sealed: u64, facts: Vec<(u64, Fact)>) -> &mut Writer {
         let since = self.batches.last().map_or(at(0), |batch| batch.sealed);
         let record = |(millis, fact)| Record { at: at(millis), fact };
@@ -60,7 +60,7 @@
         self
     }
 
-    /// The chain, sealed.
+    /// Links the batches to a chain and returns them sealed.
     pub fn seal(&self) -> Vec<Sealed> {
         let mut previous = Digest::default();
         let seal = |batch: &Batch| {
@@ -72,12 +72,12 @@
     }
 }
 
-/// A stream with one batch a record, chain by chain.
+/// Returns a stream with one batch in each record, chain by chain.
 pub fn stream(writers: &[Writer]) -> Vec<Read> {
     reads(writers.iter().flat_map(Writer::seal).collect())
 }
 
-/// A stream with one batch a record.
+/// Returns a stream with one batch in each record; offsets start at 1.
 pub fn reads(batches: Vec<Sealed>) -> Vec<Read> {
     let read = |(index, sealed)| Read {
         offset: index as u64 + 1,
@@ -86,7 +86,7 @@
     batches.into_iter().enumerate().map(read).collect()
 }
 
-/// What a request's record says, to be changed by a test.
+/// Returns the record of an abandoned request, which tests modify.
 pub fn request(number: u128) -> Request {
     Request {
         request: Uuid::from_u128(number),
@@ -100,24 +100,24 @@
     }
 }
 
-/// A request that was answered whole by a target.
+/// Returns a request that received a complete answer from a target.
 pub fn whole(number: u128, target: &str, digest: AnswerDigest) -> Request {
     let starts = vec![Start { attempt: 1, target: target.to_owned() }];
     Request { starts, outcome: Outcome::Whole { digest }, ..request(number) }
 }
 
-/// A request that was refused as not run.
+/// Returns a request that was refused as not run.
 pub fn refused(number: u128, left_waiting: Option<Rank>) -> Request {
     let outcome = Outcome::Refused { reason: Reason::Overloaded, ran: Ran::NotRun, left_waiting };
     Request { outcome, ..request(number) }
 }
 
-/// The same request, as a permit decision under a claim.
-pub fn decision(request: Request, claim: ClaimKey) -> Request {
+/// Returns the same request as a non-idempotent one under a claim.
+pub fn non_idempotent(request: Request, claim: ClaimKey) -> Request {
     Request { claim: Some(claim), idempotent: false, ..request }
 }
 
-/// A run that gave a whole answer.
+/// Returns a run that produced a complete answer.
 pub fn run(number: u128, started: u64, digest: AnswerDigest) -> Run {
     let id = Id { request: Uuid::from_u128(number), attempt: 1 };
     Run { id, started: at(started), ran: Ran::Yes, digest: Some(digest) }
