--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Settings file of an agent.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,95 +13,95 @@
 
 use crate::shared::{Platform, positive};
 
-/// Everything that an agent is told at its start.
+/// Settings of an agent, read once at its start.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Agent {
-    /// The target that it stands beside.
+    /// Name of the target that the agent serves.
     #[garde(custom(model::resource::label))]
     pub target: TargetName,
-    /// Host that it runs on, as the platform's list names it.
+    /// Host that the agent runs on, as named in the platform's list of hosts.
     #[garde(length(min = 1))]
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     #[garde(length(min = 1))]
     pub zone: ZoneName,
-    /// Addresses to listen on.
+    /// Addresses that the agent listens on.
     #[garde(skip)]
     pub listen: Listen,
-    /// The engine or plain service beside it.
+    /// Engine or plain service that the agent sends requests to.
     #[garde(skip)]
     pub engine: Engine,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     #[garde(dive)]
     pub platform: Platform,
-    /// Longest wait of one read of the log for a new record.
+    /// Longest time that one read of the log waits for a new record, in ms.
     #[garde(custom(positive))]
-    #[serde(rename = "poll_ms", default = "poll")]
+    #[serde(rename = "poll_ms", default = "default_poll")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub poll: Duration,
-    /// Shortest period of batches of evidence.
+    /// Shortest time between two batches of evidence, in ms.
     #[garde(custom(positive))]
-    #[serde(rename = "evidence_ms", default = "evidence")]
+    #[serde(rename = "evidence_ms", default = "default_evidence")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub evidence: Duration,
-    /// Room at the target.
+    /// Capacity of the target and limits of the agent's queue.
     #[garde(dive)]
     #[serde(default)]
     pub room: Room,
 }
 
-fn poll() -> Duration {
+fn default_poll() -> Duration {
     Duration::from_secs(2)
 }
 
-fn evidence() -> Duration {
+fn default_evidence() -> Duration {
     Duration::from_secs(2)
 }
 
-/// Addresses of an agent; port 0 takes a free one.
+/// Addresses that an agent listens on; port 0 selects a free port.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For control calls (`tarpc`).
+    /// Address for control calls (`tarpc`) from entry processes and other agents.
     pub control: SocketAddr,
-    /// For bodies and answers (HTTP).
+    /// Address for the bodies of requests and answers (HTTP).
     pub traffic: SocketAddr,
-    /// For health and metrics (HTTP).
+    /// Address for health checks and metrics (HTTP).
     pub operators: SocketAddr,
 }
 
-/// The engine or plain service beside the agent.
+/// Engine or plain service that an agent sends requests to.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Where it answers HTTP.
+    /// HTTP address of the engine or service.
     pub address: SocketAddr,
-    /// What it is.
+    /// Whether it is an engine that serves models or a plain service.
     pub backing: Backing,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects an order with an outdated fencing number; `false` by default.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
-/// Room at the target.
+/// Capacity of a target and limits of its agent's queue.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Room {
-    /// Requests that run at once.
+    /// Limit on the requests that run at the same time.
     #[garde(range(min = 1))]
     pub slots: usize,
-    /// Tokens (prefill and decode together) that the running set may hold.
+    /// Limit on the tokens (prefill and decode together) of all running requests.
     #[garde(range(min = 1))]
     pub tokens: u64,
-    /// Most reservations that wait.
+    /// Limit on the reservations in the queue.
     #[garde(range(min = 1))]
     pub waiting: usize,
-    /// Life of a grant that isn't started.
+    /// Time in ms after which a grant expires if its request hasn't been started.
     #[garde(custom(positive))]
     #[serde(rename = "grant_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry process.
+//! Settings file of an entry process.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,60 +10,60 @@
 
 use crate::shared::{Operator, Platform, positive};
 
-/// Everything that an entry process is told at its start.
+/// Settings of an entry process, read once at its start.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Name of this process, unique in the deployment.
+    /// Name of the process, unique in the deployment.
     #[garde(custom(model::resource::label))]
     pub name: String,
-    /// Host that it runs on, as the platform's list names it.
+    /// Host that the process runs on, as named in the platform's list of hosts.
     #[garde(length(min = 1))]
     pub host: HostName,
-    /// Its availability zone.
+    /// Availability zone of the host.
     #[garde(length(min = 1))]
     pub zone: ZoneName,
-    /// Addresses to listen on.
+    /// Addresses that the process listens on.
     #[garde(skip)]
     pub listen: Listen,
-    /// The platform's services.
+    /// Addresses of the platform's services.
     #[garde(dive)]
     pub platform: Platform,
-    /// Bounds on what callers may send and how many may wait.
+    /// Limits on request bodies, waiting requests and metrics.
     #[garde(dive)]
     #[serde(default)]
     pub bounds: Bounds,
-    /// Periods and waits.
+    /// Periods and timeouts.
     #[garde(dive)]
     #[serde(default)]
     pub timing: Timing,
-    /// Who may use the resource API.
+    /// Operators who may use the resource API; nobody may by default.
     #[garde(dive)]
     #[serde(default)]
     pub operators: Vec<Operator>,
 }
 
-/// Addresses of an entry process; port 0 takes a free one.
+/// Addresses that an entry process listens on; port 0 selects a free port.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// Address for the requests of callers.
     pub callers: SocketAddr,
-    /// For operators, the balancer's health check and metrics.
+    /// Address for operators, the load balancer's health checks and metrics.
     pub operators: SocketAddr,
 }
 
-/// Bounds on what callers may send and how many may wait.
+/// Limits on request bodies, waiting requests and metrics.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Largest request body, in bytes.
+    /// Limit on the size of a request body, in bytes.
     #[garde(range(min = 1, max = 67_108_864))]
     pub body_bytes: usize,
-    /// Most requests that wait in this process.
+    /// Limit on the requests that wait in the process.
     #[garde(range(min = 1))]
     pub waiting: usize,
-    /// Client accounts that get histograms of their own; the others share one.
+    /// Number of client accounts that have their own histograms; all others share one.
     #[garde(range(max = 1_000))]
     pub tracked_accounts: usize,
 }
@@ -74,43 +74,45 @@
     }
 }
 
-/// Periods and waits.
+/// Periods and timeouts, in ms in the file.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Period of reading the platform's list of hosts.
+    /// Time between two reads of the platform's list of hosts.
     #[garde(custom(positive))]
     #[serde(rename = "hosts_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub hosts: Duration,
-    /// Longest wait of one read of the log for a new record.
+    /// Longest time that one read of the log waits for a new record.
     #[garde(custom(positive))]
     #[serde(rename = "poll_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub poll: Duration,
-    /// Period of snapshots of the configuration; well below the time that the log keeps records.
+    /// Time between two snapshots of the configuration. It must be well below the retention time of
+    /// the log.
     #[garde(custom(positive))]
     #[serde(rename = "snapshot_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub snapshot: Duration,
-    /// Period of appending evidence; about the number of entry processes over the appends a second
-    /// that the log can spare.
+    /// Time between two appends of evidence. In seconds, it should be about the number of entry
+    /// processes divided by the appends per second that the log can spare for evidence.
     #[garde(custom(positive))]
     #[serde(rename = "evidence_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub evidence: Duration,
-    /// Time between the health check's failure and closing the listener.
+    /// Time during a shutdown between the first failing health check and closing the listener, so
+    /// that the load balancer stops sending requests.
     #[garde(skip)]
     #[serde(rename = "lame_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[schemars(with = "u64")]
     pub lame: Duration,
-    /// Longest wait for an agent to take a connection.
+    /// Timeout of a connection attempt to an agent.
     #[garde(custom(positive))]
     #[serde(rename = "connect_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Settings files of both processes: JSON, checked as a whole, every finding with its place.
+//! Settings files of entry processes and agents. The files are JSON; a check reports all findings
+//! of a file together, each with its place in the file.
 
 pub mod agent;
 pub mod entry;
@@ -24,12 +25,12 @@
     parse_agent(&parse::read(path)?)
 }
 
-/// Checks the text of an entry process's settings.
+/// Parses and checks the settings of an entry process.
 pub fn parse_entry(text: &str) -> Result<Entry, Vec<Finding>> {
     parse::check(text)
 }
 
-/// Checks the text of an agent's settings.
+/// Parses and checks the settings of an agent.
 pub fn parse_agent(text: &str) -> Result<Agent, Vec<Finding>> {
     parse::check(text)
 }
--- a/components/settings/src/parse.rs
+++ b/components/settings/src/parse.rs
@@ -1,4 +1,5 @@
-//! Three passes over a settings file: JSON, shape by schema, then values.
+//! Checks a settings file in three passes: JSON syntax, structure according to the schema, and
+//! ranges of the values.
 
 use std::{fs, path::Path};
 
@@ -9,25 +10,27 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Reads a file as text.
+/// Reads a file as text; an I/O error is returned as a finding.
 pub fn read(path: &Path) -> Result<String, Vec<Finding>> {
     fs::read_to_string(path).map_err(|error| vec![Finding::new("file", error.to_string())])
 }
 
-/// Gives the settings, or every finding of the first pass that has any.
+/// Parses and checks settings. If a pass has findings, all findings of that pass are returned and
+/// later passes are skipped.
 pub fn check<T>(text: &str) -> Result<T, Vec<Finding>>
 where
     T: DeserializeOwned + JsonSchema + Validate<Context = ()>,
 {
-    check_value(serde_json::from_str(text).map_err(|error| vec![syntax(&error)])?)
+    check_value(serde_json::from_str(text).map_err(|error| vec![syntax_finding(&error)])?)
 }
 
-/// Gives what a JSON value holds, or every finding of the first pass that has any.
+/// Checks a JSON value and deserializes it. If a pass has findings, all findings of that pass are
+/// returned and later passes are skipped.
 pub fn check_value<T>(value: Value) -> Result<T, Vec<Finding>>
 where
     T: DeserializeOwned + JsonSchema + Validate<Context = ()>,
 {
-    let findings = shape::<T>(&value);
+    let findings = structure_findings::<T>(&value);
     if !findings.is_empty() {
         return Err(findings);
     }
@@ -35,27 +38,28 @@
         .map_err(|error| vec![Finding::new("$", error.to_string())])?;
     match settings.validate() {
         Ok(()) => Ok(settings),
-        Err(report) => Err(values(&report)),
+        Err(report) => Err(value_findings(&report)),
     }
 }
 
-fn syntax(error: &serde_json::Error) -> Finding {
+fn syntax_finding(error: &serde_json::Error) -> Finding {
     let place = format!("line {}, column {}", error.line(), error.column());
     Finding::new(place, format!("not JSON: {error}"))
 }
 
-fn shape<T: JsonSchema>(value: &Value) -> Vec<Finding> {
+fn structure_findings<T: JsonSchema>(value: &Value) -> Vec<Finding> {
     let schema = schemars::schema_for!(T);
     let schema = serde_json::to_value(schema).expect("a derived schema is JSON");
     let validator = jsonschema::validator_for(&schema).expect("a derived schema is a schema");
-    let mut findings: Vec<Finding> = validator.iter_errors(value).map(|e| finding(&e)).collect();
+    let mut findings: Vec<Finding> =
+        validator.iter_errors(value).map(|error| structure_finding(&error)).collect();
     findings.sort();
     findings.dedup();
     findings
 }
 
-fn finding(error: &jsonschema::ValidationError<'_>) -> Finding {
-    let place = dotted(error.instance_path().as_str());
+fn structure_finding(error: &jsonschema::ValidationError<'_>) -> Finding {
+    let place = dotted_path(error.instance_path().as_str());
     let message = match error.kind() {
         ValidationErrorKind::AdditionalProperties { unexpected } => {
             format!("unknown setting: {}", unexpected.join(", "))
@@ -66,7 +70,7 @@
     Finding::new(place, message)
 }
 
-fn values(report: &garde::Report) -> Vec<Finding> {
+fn value_findings(report: &garde::Report) -> Vec<Finding> {
     let mut findings: Vec<Finding> = report
         .iter()
         .map(|(path, error)| Finding::new(format!("$.{path}"), error.message().to_string()))
@@ -75,8 +79,8 @@
     findings
 }
 
-/// Turns a JSON pointer into a path: `/a/0/b` gives `$.a[0].b`.
-fn dotted(pointer: &str) -> String {
+/// Converts a JSON pointer to a dotted path: `/a/0/b` becomes `$.a[0].b`.
+fn dotted_path(pointer: &str) -> String {
     let mut path = String::from("$");
     for part in pointer.split('/').skip(1) {
         if part.parse::<usize>().is_ok() {
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings are checked as a whole.
+//! Checks that the defaults of settings apply and that all faults of a settings file are reported
+//! together.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use serde_json::{Value, json};
 use test_case::test_case;
 
-fn entry() -> Value {
+fn entry_settings() -> Value {
     json!({
         "name": "entry-1", "host": "h1", "zone": "a",
         "listen": {"callers": "127.0.0.1:0", "operators": "127.0.0.1:0"},
@@ -14,7 +15,7 @@
     })
 }
 
-fn agent() -> Value {
+fn agent_settings() -> Value {
     json!({
         "target": "t1", "host": "h1", "zone": "a",
         "listen": {"control": "127.0.0.1:0", "traffic": "127.0.0.1:0", "operators": "127.0.0.1:0"},
@@ -28,16 +29,16 @@
 }
 
 #[test]
-fn defaults_fill_what_is_absent() {
-    let parsed = settings::parse_entry(&entry().to_string()).unwrap();
+fn absent_settings_have_their_defaults() {
+    let parsed = settings::parse_entry(&entry_settings().to_string()).unwrap();
 
     assert_eq!(parsed.bounds.waiting, 4_096);
     assert_eq!(parsed.timing.poll, Duration::from_secs(2));
 }
 
 #[test]
-fn every_fault_of_shape_is_found_at_once() {
-    let mut faulty = entry();
+fn all_structural_faults_are_reported_together() {
+    let mut faulty = entry_settings();
     faulty["listen"]["callers"] = json!(80);
     faulty["bounds"] = json!({"body_bytes": "big", "surprise": 1});
     faulty["operators"] = json!([{"name": "o"}]);
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn every_fault_of_value_is_found_at_once() {
-    let mut faulty = entry();
+fn all_faulty_values_are_reported_together() {
+    let mut faulty = entry_settings();
     faulty["name"] = json!("Entry 1");
     faulty["platform"]["log"] = json!("ftp://log");
     faulty["timing"] = json!({"poll_ms": 0});
@@ -71,13 +72,13 @@
 
 #[test_case("{\"name\": }" => "line 1, column 10"; "broken JSON")]
 #[test_case("" => "line 1, column 0"; "empty file")]
-fn a_broken_file_is_found_with_its_place(text: &str) -> String {
+fn a_syntax_error_is_reported_with_its_line_and_column(text: &str) -> String {
     settings::parse_agent(text).unwrap_err().remove(0).place
 }
 
 #[test]
-fn an_agent_needs_a_known_backing() {
-    let mut faulty = agent();
+fn an_unknown_backing_of_an_agent_is_a_finding() {
+    let mut faulty = agent_settings();
     faulty["engine"]["backing"] = json!("toaster");
 
     let findings = settings::parse_agent(&faulty.to_string()).unwrap_err();
