--- a/components/agent/src/claims.rs
+++ b/components/agent/src/claims.rs
@@ -191,7 +191,7 @@
             handed_over: self.state.handed_over(),
         };
         self.metrics.claims.set(i64::try_from(self.state.len()).unwrap_or(i64::MAX));
-        self.metrics.epoch.set(i64::try_from(status.epoch).unwrap_or(i64::MAX));
+        self.metrics.membership_epoch.set(i64::try_from(status.epoch).unwrap_or(i64::MAX));
         self.status.send_if_modified(|old| std::mem::replace(old, status) != status);
     }
 }
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -405,7 +405,7 @@
     fn publish(&self) {
         let load = self.state.load();
         self.metrics.running.set(load.running.into());
-        self.metrics.waiting.set(load.waiting.into());
+        self.metrics.waiting_reservations.set(load.waiting.into());
         let status = Status { load, draining: self.state.is_draining(), drained: self.drained };
         self.status.send_if_modified(|old| std::mem::replace(old, status) != status);
     }
--- a/components/agent/src/traffic.rs
+++ b/components/agent/src/traffic.rs
@@ -130,7 +130,7 @@
     match answered {
         Err(Unread) => info!(%request, "cancelled: the entry went away"),
         Ok(Some(Torn)) => {
-            context.metrics.torn.inc();
+            context.metrics.torn_answers.inc();
             warn!(%request, "the target's answer is torn");
         }
         Ok(None) => run.finish(Finish { ran: Ran::Yes, digest: Some(writer.digest()) }),
--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -199,7 +199,7 @@
 }
 
 fn refuse(context: &Context, id: RequestId, owner: &Owner, refusal: Refusal) -> Response<Body> {
-    context.metrics.refused(&owner.tier, refusal.reason);
+    context.metrics.count_refusal(&owner.tier, refusal.reason);
     let reason = refusal.reason;
     let message = &refusal.message;
     if refusal.ran == Ran::NotRun {
--- a/components/entry/src/control.rs
+++ b/components/entry/src/control.rs
@@ -388,8 +388,8 @@
             open: self.state.len(),
             drained: self.drained,
         };
-        self.metrics.open.set(i64::try_from(status.open).unwrap_or(i64::MAX));
-        self.metrics.offset.set(i64::try_from(status.offset).unwrap_or(i64::MAX));
+        self.metrics.open_requests.set(i64::try_from(status.open).unwrap_or(i64::MAX));
+        self.metrics.configuration_offset.set(i64::try_from(status.offset).unwrap_or(i64::MAX));
         self.applied.send_if_modified(|old| std::mem::replace(old, status.offset) != status.offset);
         self.status.send_if_modified(|old| std::mem::replace(old, status) != status);
     }
--- a/components/entry/src/stream.rs
+++ b/components/entry/src/stream.rs
@@ -34,17 +34,17 @@
 impl Account {
     /// Counts the first piece of the answer.
     fn first_byte(&self) {
-        self.metrics.first_byte(&self.owner.tier, self.arrived.elapsed());
+        self.metrics.record_first_byte(&self.owner.tier, self.arrived.elapsed());
     }
 
     fn whole(&self) {
         let took = self.arrived.elapsed();
-        self.metrics.whole(&self.owner.tier, &self.owner.account, took);
+        self.metrics.record_answer(&self.owner.tier, &self.owner.account, took);
         info!(request = %self.id, millis = took.as_millis(), "whole");
     }
 
     fn torn(&self, refusal: &Refusal) {
-        self.metrics.torn(&self.owner.tier);
+        self.metrics.count_torn_answer(&self.owner.tier);
         warn!(request = %self.id, reason = ?refusal.reason, message = refusal.message, "torn");
     }
 }
--- a/components/gateway/src/agents.rs
+++ b/components/gateway/src/agents.rs
@@ -62,13 +62,13 @@
             let id = Id { request, attempt: number };
             match reserve(&pool, &reservation, request).await {
                 Ok((client, load)) => {
-                    metrics.reserved("granted");
+                    metrics.count_reservation("granted");
                     on_ended(Event::Granted { ticket, number, load });
                     // Where the agent is unreachable, it holds no slot any more; the request runs anyway.
                     let _ = client.hold(context(MAX_HOLD), id, reservation.address).await;
                 }
                 Err(reason) => {
-                    metrics.reserved(denial_name(reason));
+                    metrics.count_reservation(denial_name(reason));
                     on_ended(Event::Denied { ticket, number, reason });
                 }
             }
--- a/components/gateway/src/call.rs
+++ b/components/gateway/src/call.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    Body, Broken, Call, Dialect,
+    Body, Broken, Dialect, ReceivedRequest,
     control::{self, Command},
     dispatch::{self, EventStream, TargetAnswer, TargetClient, UnreadAnswer},
     events::StreamEvent,
@@ -43,7 +43,7 @@
 /// disconnected, and the control thread is informed.
 struct Session {
     context: Arc<Context>,
-    call: Arc<Call>,
+    call: Arc<ReceivedRequest>,
     ticket: Ticket,
     commands: mpsc::UnboundedReceiver<Command>,
     /// The last error answer of a target.
@@ -87,7 +87,7 @@
     let commands = context.control.begin_request(direct_request(&call, ticket, fingerprint));
     let mut session = Session {
         context,
-        last_event: call.ask.last_event.clone(),
+        last_event: call.info.last_event_id.clone(),
         call: Arc::new(call),
         ticket,
         commands,
@@ -104,7 +104,9 @@
             let body = relay(session, first, *events);
             Response::from_parts(*parts, BodyExt::boxed_unsync(StreamBody::new(body)))
         }
-        Err(refusal) => (dialect.refuse)(&refusal, Some(&session.call.ask.id)).map(full_body),
+        Err(refusal) => {
+            (dialect.build_refusal)(&refusal, Some(&session.call.info.id)).map(full_body)
+        }
     }
 }
 
@@ -113,12 +115,12 @@
 async fn read(
     context: &Context,
     request: Request<Incoming>,
-) -> Result<(Call, Fingerprint), Response<Body>> {
+) -> Result<(ReceivedRequest, Fingerprint), Response<Body>> {
     let (head, body) = request.into_parts();
-    let ask = (context.dialect.read)(&head)
+    let info = (context.dialect.read_request)(&head)
         .map_err(|message| text_response(StatusCode::BAD_REQUEST, &message))?;
     let max_bytes =
-        context.control.plan().map_or(DEFAULT_MAX_BODY_BYTES, |plan| plan.max_body_bytes);
+        context.control.configuration().map_or(DEFAULT_MAX_BODY_BYTES, |plan| plan.max_body_bytes);
     let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
@@ -128,25 +130,29 @@
         Ok(Err(_)) => return Err(text_response(StatusCode::BAD_REQUEST, "the body broke off")),
         Err(_) => return Err(text_response(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
     };
-    let key = ask.key.as_deref().unwrap_or_default();
+    let key = info.api_key.as_deref().unwrap_or_default();
     let fingerprint = id::fingerprint(&[head.uri.path().as_bytes(), key.as_bytes(), &body]);
-    Ok((Call { head, body, ask }, fingerprint))
+    Ok((ReceivedRequest { head, body, info }, fingerprint))
 }
 
 /// Builds the request for the reducer.
-fn direct_request(call: &Call, ticket: Ticket, fingerprint: Fingerprint) -> direct::Request {
-    let hash = blake3::hash(call.ask.id.as_bytes());
+fn direct_request(
+    call: &ReceivedRequest,
+    ticket: Ticket,
+    fingerprint: Fingerprint,
+) -> direct::Request {
+    let hash = blake3::hash(call.info.id.as_bytes());
     let mut bytes = [0; 8];
     bytes.copy_from_slice(&hash.as_bytes()[..8]);
     direct::Request {
         ticket,
-        id: call.ask.id.clone(),
-        host: call.ask.host.clone(),
+        id: call.info.id.clone(),
+        host: call.info.host.clone(),
         path: call.head.uri.path().to_owned(),
-        api_key: call.ask.key.clone(),
-        timeout: call.ask.patience,
-        tokens: call.ask.tokens,
-        expected_tokens: call.ask.expected,
+        api_key: call.info.api_key.clone(),
+        timeout: call.info.remaining_time,
+        tokens: call.info.tokens,
+        expected_tokens: call.info.expected_tokens,
         fingerprint,
         spread: u64::from_le_bytes(bytes),
     }
--- a/components/gateway/src/control.rs
+++ b/components/gateway/src/control.rs
@@ -85,25 +85,25 @@
     fails_health_checks: Arc<AtomicBool>,
     status: watch::Receiver<Status>,
     /// Address at which this process listens for other entry processes.
-    pub address: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 /// Status that the control thread publishes to the other tasks of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
     /// Whether the process accepts requests: its configuration is current and it isn't draining.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Whether the row of any other entry process that may take requests is missing or out of date.
-    pub lonely: bool,
+    pub has_unreachable_peer: bool,
     /// Addresses of the other entry processes that may be alive, sorted.
     pub peers: Vec<SocketAddr>,
     /// The configuration in force; `None` before the first one is known.
-    pub plan: Option<Arc<Configuration>>,
+    pub configuration: Option<Arc<Configuration>>,
     /// Reports on rollouts that have to be written to the platform's service.
-    pub reports: Vec<Report>,
+    pub rollout_reports: Vec<Report>,
     /// Index of this process among the entry processes that may write the same reports; each waits for the
     /// ones before it.
-    pub turn: u32,
+    pub report_delay_turns: u32,
 }
 
 /// State of the control thread.
@@ -140,7 +140,7 @@
         next_ticket: Arc::default(),
         fails_health_checks: Arc::default(),
         status: status_receiver,
-        address: settings.direct.address,
+        peer_address: settings.direct.address,
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     let sender = messages.clone();
@@ -174,7 +174,7 @@
                 Ok(peers) => peer::spawn(peers, thread_handle.clone()),
                 Err(error) => error!(%error, "can't serve other entry processes"),
             }
-            thread_handle.introduce(&settings.seeds);
+            thread_handle.add_peers(&settings.seeds);
             tokio::spawn(feed(thread_handle));
             thread.run(inbox).await;
         });
@@ -200,7 +200,7 @@
     }
 
     /// Adds addresses of entry processes that may be alive.
-    pub fn introduce(&self, seeds: &[SocketAddr]) {
+    pub fn add_peers(&self, seeds: &[SocketAddr]) {
         let seeds = seeds.iter().map(|&address| Registration { address, stamp: 0 });
         self.send(Event::PeersDiscovered(seeds.collect()));
     }
@@ -234,7 +234,7 @@
     }
 
     /// Returns a receiver of the control thread's status and its changes.
-    pub fn watch(&self) -> watch::Receiver<Status> {
+    pub fn status(&self) -> watch::Receiver<Status> {
         self.status.clone()
     }
 
@@ -258,12 +258,12 @@
 
     /// Returns whether the load balancer should send requests to this process.
     pub fn is_ready(&self) -> bool {
-        self.status.borrow().ready && !self.fails_health_checks.load(Ordering::Relaxed)
+        self.status.borrow().is_ready && !self.fails_health_checks.load(Ordering::Relaxed)
     }
 
     /// Returns the configuration in force; `None` before the first one is known.
-    pub fn plan(&self) -> Option<Arc<Configuration>> {
-        self.status.borrow().plan.clone()
+    pub fn configuration(&self) -> Option<Arc<Configuration>> {
+        self.status.borrow().configuration.clone()
     }
 }
 
@@ -393,7 +393,7 @@
         match event {
             Event::AnswerBegan { ticket } => {
                 if let Some(view) = self.state.dispatch_view(*ticket, now) {
-                    self.metrics.first(view.tier, view.running_for);
+                    self.metrics.record_first_event(view.tier, view.running_for);
                 }
             }
             Event::TargetUnresponsive { ticket, begun } => {
@@ -413,10 +413,10 @@
             Event::DispatchEnded { ticket, outcome, begun, events } => {
                 if let Some(view) = self.state.dispatch_view(*ticket, now) {
                     record::log_dispatch_ended(&view, *outcome, *begun, *events);
-                    self.metrics.ended(record::outcome_name(*outcome));
+                    self.metrics.count_dispatch(record::outcome_name(*outcome));
                     if *outcome == Outcome::Completed {
-                        self.metrics.whole(view.account, view.waited);
-                        self.metrics.sized(view.tier, view.expected_tokens, true);
+                        self.metrics.record_answer(view.account, view.waited);
+                        self.metrics.count_by_length(view.tier, view.expected_tokens, true);
                     }
                 }
             }
@@ -481,23 +481,33 @@
 
     /// Updates the gauges, and publishes the status where it changed.
     fn publish_status(&mut self) {
-        let ready = self.state.is_ready();
-        self.metrics.open.set(self.state.open_requests() as i64);
+        let is_ready = self.state.is_ready();
+        self.metrics.open_requests.set(self.state.open_requests() as i64);
         let list_age = self.state.list_age(Instant::now());
-        self.metrics.list_age.set(list_age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
-        let lonely = self.state.is_missing_peers(Instant::now());
+        self.metrics.target_list_age.set(list_age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
+        let has_unreachable_peer = self.state.is_missing_peers(Instant::now());
         let peers = || self.state.peers();
-        let plan = self.state.configuration_in_force();
-        let (reports, turn) = (self.state.reports(), self.state.report_delay_turns());
+        let configuration = self.state.configuration_in_force();
+        let (rollout_reports, report_delay_turns) =
+            (self.state.reports(), self.state.report_delay_turns());
         self.status.send_if_modified(|status| {
-            let version = |plan: Option<&Arc<Configuration>>| plan.map(|plan| plan.version);
-            let changed = (status.ready, status.lonely) != (ready, lonely)
-                || version(status.plan.as_ref()) != version(plan)
-                || (status.turn, &status.reports) != (turn, &reports)
+            let version = |known: Option<&Arc<Configuration>>| known.map(|known| known.version);
+            let changed = (status.is_ready, status.has_unreachable_peer)
+                != (is_ready, has_unreachable_peer)
+                || version(status.configuration.as_ref()) != version(configuration)
+                || (status.report_delay_turns, &status.rollout_reports)
+                    != (report_delay_turns, &rollout_reports)
                 || !peers().eq(status.peers.iter().copied());
             if changed {
-                let (peers, plan) = (peers().collect(), plan.cloned());
-                *status = Status { ready, lonely, peers, plan, reports, turn };
+                let (peers, configuration) = (peers().collect(), configuration.cloned());
+                *status = Status {
+                    is_ready,
+                    has_unreachable_peer,
+                    peers,
+                    configuration,
+                    rollout_reports,
+                    report_delay_turns,
+                };
             }
             changed
         });
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -18,7 +18,7 @@
 use tracing::warn;
 
 use crate::{
-    Call, Dialect, Verdict,
+    AnswerKind, Dialect, ReceivedRequest,
     events::{EventSplitter, StreamEvent},
 };
 
@@ -94,7 +94,7 @@
 pub async fn send(
     client: &TargetClient,
     dialect: &Dialect,
-    call: &Call,
+    call: &ReceivedRequest,
     dispatch: &Dispatch,
     last_event: Option<&str>,
     on_rate_limit: impl Fn(f64),
@@ -104,29 +104,29 @@
     if remaining.is_zero() {
         return Err(Outcome::DeadlineExceeded);
     }
-    let mut request = (dialect.forward)(call, dispatch, remaining, last_event);
+    let mut request = (dialect.build_request)(call, dispatch, remaining, last_event);
     let connection = capture_connection(&mut request);
     let time_limit = TimeLimit { end };
     let answer = time_limit.wait(client.request(request)).await?;
     let answer = answer.map_err(|error| failure_outcome(&error))?;
     let (mut head, body) = answer.into_parts();
-    let verdict = (dialect.judge)(&head, call);
-    // With any other verdict the answer isn't one of this target.
-    if matches!(verdict, Verdict::Answer | Verdict::Failure | Verdict::NotRun) {
-        match (dialect.limit)(&head) {
+    let kind = (dialect.classify_answer)(&head, call);
+    // With any other kind the answer isn't one of this target.
+    if matches!(kind, AnswerKind::Answer | AnswerKind::Failed | AnswerKind::Rejected) {
+        match (dialect.read_rate_limit)(&head) {
             Ok(per_second) => per_second.into_iter().for_each(on_rate_limit),
             Err(message) => warn!(to = dispatch.target, message, "a rate limit can't be read"),
         }
     }
-    (dialect.strip)(&mut head);
-    match verdict {
-        Verdict::NotRun => Err(Outcome::Rejected),
-        Verdict::Replaced => Err(Outcome::Replaced),
-        Verdict::Foreign => {
+    (dialect.remove_connection_headers)(&mut head);
+    match kind {
+        AnswerKind::Rejected => Err(Outcome::Rejected),
+        AnswerKind::Replaced => Err(Outcome::Replaced),
+        AnswerKind::Improper => {
             close_after_use(&connection);
             Err(Outcome::Incomplete { crashed: false })
         }
-        Verdict::Answer if dispatch.is_stream => {
+        AnswerKind::Answer if dispatch.is_stream => {
             let body = Box::pin(body);
             let unresponsive_timeout = dispatch.unresponsive_timeout;
             let splitter = EventSplitter::default();
@@ -140,8 +140,8 @@
             };
             Ok(TargetAnswer::Stream(Box::new(head), Box::new(events)))
         }
-        Verdict::Answer => Ok(TargetAnswer::Plain(UnreadAnswer { head, body, time_limit })),
-        Verdict::Failure => Ok(TargetAnswer::Failure(UnreadAnswer { head, body, time_limit })),
+        AnswerKind::Answer => Ok(TargetAnswer::Plain(UnreadAnswer { head, body, time_limit })),
+        AnswerKind::Failed => Ok(TargetAnswer::Failure(UnreadAnswer { head, body, time_limit })),
     }
 }
 
--- a/components/gateway/src/ingress.rs
+++ b/components/gateway/src/ingress.rs
@@ -163,7 +163,11 @@
     let mut is_closing = shared.is_closing.subscribe();
     let mut previous_requests = 0;
     let idle_timeout = || {
-        shared.context.control.plan().map_or(DEFAULT_IDLE_TIMEOUT, |plan| plan.idle_timeout)
+        shared
+            .context
+            .control
+            .configuration()
+            .map_or(DEFAULT_IDLE_TIMEOUT, |plan| plan.idle_timeout)
             + IDLE_TIMEOUT_MARGIN
     };
     loop {
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -47,7 +47,7 @@
     /// can't listen at {0}: {1}
     Listen(SocketAddr, io::Error),
     /// the control thread can't be started: {0}
-    Thread(io::Error),
+    Start(io::Error),
 }
 
 /// Settings of an entry process.
@@ -56,89 +56,90 @@
     /// Name of the process in logs.
     pub name: String,
     /// Address at which the process listens for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address at which the process listens for the load balancer's health checks.
-    pub operators: SocketAddr,
+    pub health_address: SocketAddr,
     /// Address at which the process serves its metrics; `None` where it doesn't serve them.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// Address at which the process listens for other entry processes.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Addresses of other entry processes that may be alive.
     pub seeds: Vec<SocketAddr>,
     /// Time from the request to stop until the process is killed.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Settings of the reducer of direct dispatch.
     pub direct: direct::Settings,
 }
 
 /// Parameters of a request that are read from its head.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// Request ID that the caller sent.
     pub id: String,
     /// Host name that the caller requests; selects the route together with the path.
     pub host: String,
     /// API key that the caller sent; `None` for a request without one.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Time for which the caller waits for the answer; `None` where the caller sent no deadline.
-    pub patience: Option<Duration>,
+    pub remaining_time: Option<Duration>,
     /// Token counts that the caller states; `None` where the request has none.
     pub tokens: Option<Tokens>,
     /// Number of tokens that the caller expects in the answer; `None` where it gave no hint.
-    pub expected: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// ID of the last event that the caller already received of a resumed stream; the answer contains only
     /// later events. `None` for a stream from its beginning and for other answers.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// A request of which head and body were received completely.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ReceivedRequest {
     /// Method, URI and headers of the request, as the caller sent them.
     pub head: request::Parts,
     /// Complete body of the request.
     pub body: Bytes,
     /// Parameters that were read from the head.
-    pub ask: Ask,
+    pub info: RequestInfo,
 }
 
 /// Classification of a target's answer by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum AnswerKind {
     /// The target ran the request; its answer is passed to the caller.
     Answer,
     /// The target ran the request and signed an error answer, which is passed to the caller unless the
     /// request is dispatched again.
-    Failure,
+    Failed,
     /// The target rejected the request and states that it did not run it.
-    NotRun,
+    Rejected,
     /// Another target now listens at the address; it rejected the request without running it.
     Replaced,
     /// The answer wasn't made by the target for this request.
-    Foreign,
+    Improper,
 }
 
 /// Builds the request to a target from the caller's request, the dispatch, the time until the deadline and
 /// the ID of the last event that the caller received; `None` where the caller received none.
-pub type Forward = fn(&Call, &Dispatch, Duration, Option<&str>) -> http::Request<Full<Bytes>>;
+pub type BuildRequest =
+    fn(&ReceivedRequest, &Dispatch, Duration, Option<&str>) -> http::Request<Full<Bytes>>;
 
 /// Conversion between HTTP messages and the types of this crate.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
     /// Reads the parameters of a caller's request; an error describes what is wrong and is sent to the
     /// caller.
-    pub read: fn(&request::Parts) -> Result<Ask, String>,
+    pub read_request: fn(&request::Parts) -> Result<RequestInfo, String>,
     /// Builds the request to a target.
-    pub forward: Forward,
+    pub build_request: BuildRequest,
     /// Classifies a target's answer to a request by its head.
-    pub judge: fn(&response::Parts, &Call) -> Verdict,
+    pub classify_answer: fn(&response::Parts, &ReceivedRequest) -> AnswerKind,
     /// Reads the rate limit, in requests per second, that a target's answer states; `None` where it states
     /// none. An error describes why the limit can't be read.
-    pub limit: fn(&response::Parts) -> Result<Option<f64>, String>,
+    pub read_rate_limit: fn(&response::Parts) -> Result<Option<f64>, String>,
     /// Removes the headers from a target's answer that concern only the connection to the target.
-    pub strip: fn(&mut response::Parts),
+    pub remove_connection_headers: fn(&mut response::Parts),
     /// Builds the error answer for a refused request, with the request ID where it is known.
-    pub refuse: fn(&Refusal, Option<&str>) -> http::Response<Bytes>,
+    pub build_refusal: fn(&Refusal, Option<&str>) -> http::Response<Bytes>,
 }
 
 /// Destinations for the metrics and the evidence of a process.
@@ -154,11 +155,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Addresses {
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address for the load balancer's health checks.
-    pub operators: SocketAddr,
+    pub health_address: SocketAddr,
     /// Address for other entry processes.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
 }
 
 /// Handle of a running entry process.
@@ -178,28 +179,29 @@
     records: Records,
 ) -> Result<Handle, Error> {
     let listeners = ingress::Listeners {
-        callers: listen(settings.callers).await?,
-        operators: listen(settings.operators).await?,
-        metrics: match settings.metrics {
+        callers: listen(settings.caller_address).await?,
+        operators: listen(settings.health_address).await?,
+        metrics: match settings.metrics_address {
             Some(address) => Some(listen(address).await?),
             None => None,
         },
     };
-    let peers = listen(settings.peers).await?;
+    let peers = listen(settings.peer_address).await?;
     let addresses = Addresses {
-        callers: local_address(&listeners.callers)?,
-        operators: local_address(&listeners.operators)?,
-        peers: local_address(&peers)?,
+        caller_address: local_address(&listeners.callers)?,
+        health_address: local_address(&listeners.operators)?,
+        peer_address: local_address(&peers)?,
     };
-    settings.direct.address = addresses.peers;
+    settings.direct.address = addresses.peer_address;
     let metrics = Arc::clone(&records.metrics);
-    let control = control::spawn(&settings, peers, feed, records).map_err(Error::Thread)?;
+    let control = control::spawn(&settings, peers, feed, records).map_err(Error::Start)?;
     let context =
         Arc::new(call::Context { control: control.clone(), dialect, client: dispatch::open() });
     let ingress = ingress::spawn(listeners, context, metrics);
-    let Addresses { callers, operators, peers } = &addresses;
+    let Addresses { caller_address: callers, health_address: operators, peer_address: peers } =
+        &addresses;
     info!(name = settings.name, %callers, %operators, %peers, "listening");
-    Ok(Handle { addresses, control, ingress, grace: settings.grace })
+    Ok(Handle { addresses, control, ingress, grace: settings.grace_period })
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
@@ -207,7 +209,7 @@
 }
 
 fn local_address(listener: &TcpListener) -> Result<SocketAddr, Error> {
-    listener.local_addr().map_err(Error::Thread)
+    listener.local_addr().map_err(Error::Start)
 }
 
 /// Time after the request to stop for which all new requests are still accepted: the load balancer needs up
@@ -221,13 +223,13 @@
 
 impl Handle {
     /// Adds addresses of entry processes that may be alive.
-    pub fn introduce(&self, seeds: &[SocketAddr]) {
-        self.control.introduce(seeds);
+    pub fn add_peers(&self, seeds: &[SocketAddr]) {
+        self.control.add_peers(seeds);
     }
 
     /// Returns the addresses of the other entry processes that may be alive.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        self.control.watch().borrow().peers.clone()
+        self.control.status().borrow().peers.clone()
     }
 
     /// Fails the load balancer's health checks, finishes the open requests as far as the grace period
--- a/components/gateway/src/links.rs
+++ b/components/gateway/src/links.rs
@@ -89,7 +89,7 @@
     ) -> Option<ExchangeAnswer> {
         let link = self.links.entry(address).or_default();
         link.is_exchanging = false;
-        self.metrics.exchanged(result.is_some());
+        self.metrics.count_exchange(result.is_some());
         link.unanswered_since =
             record::log_exchange(address, link.unanswered_since, result.is_some(), &self.metrics);
         let (client, answer) = result.unzip();
--- a/components/gateway/src/record.rs
+++ b/components/gateway/src/record.rs
@@ -75,26 +75,26 @@
             if let Some(view) =
                 state.dispatch_view(dispatch.ticket, now).filter(|view| view.attempt == 1)
             {
-                metrics.waited(view.tier, view.waited);
+                metrics.record_wait(view.tier, view.waited);
             }
         }
         Effect::Refuse { refusal, context, .. } => {
-            metrics.refused(reason(refusal.reason));
+            metrics.count_refusal(reason_name(refusal.reason));
             if let Some(tier) = context.tier {
-                metrics.sized(tier, context.expected_tokens, false);
+                metrics.count_by_length(tier, context.expected_tokens, false);
             }
         }
         Effect::Log(LogEntry::ConfigurationChanged { version }) => {
-            metrics.version.set(i64::try_from(*version).unwrap_or(i64::MAX));
+            metrics.configuration_version.set(i64::try_from(*version).unwrap_or(i64::MAX));
         }
         Effect::Log(LogEntry::FreshnessChanged(fresh)) => {
-            metrics.fresh.set((*fresh).into());
+            metrics.is_configuration_current.set((*fresh).into());
         }
         Effect::Log(LogEntry::PeersChanged { usable, .. }) => {
-            metrics.together.set((*usable).into());
+            metrics.usable_processes.set((*usable).into());
         }
         Effect::Log(LogEntry::TargetsChanged { ready, .. }) => {
-            metrics.targets.set(i64::try_from(*ready).unwrap_or(i64::MAX));
+            metrics.ready_targets.set(i64::try_from(*ready).unwrap_or(i64::MAX));
             set_limited_targets(state, metrics);
         }
         Effect::Log(LogEntry::RateLimitChanged { .. }) => set_limited_targets(state, metrics),
@@ -114,7 +114,7 @@
 }
 
 fn set_limited_targets(state: &State, metrics: &Gateway) {
-    metrics.limited.set(i64::try_from(state.limited_targets()).unwrap_or(i64::MAX));
+    metrics.limited_targets.set(i64::try_from(state.limited_targets()).unwrap_or(i64::MAX));
 }
 
 /// Logs that the target of a dispatch is unresponsive; the dispatch still waits for the answer.
@@ -165,7 +165,7 @@
 }
 
 /// Returns the name of a reason in logs, metrics and answers to callers.
-pub fn reason(reason: RefusalReason) -> &'static str {
+pub fn reason_name(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::NotReady => "not_ready",
         RefusalReason::NoRoute => "no_route",
@@ -187,7 +187,7 @@
     let (shortage, fits) = (refusal.shortage, context.fits);
     info!(
         request = id,
-        reason = reason(refusal.reason),
+        reason = reason_name(refusal.reason),
         not_run = refusal.not_run,
         retry_after_ms = refusal.retry_after.map(millis),
         route = context.route,
--- a/components/metrics/src/agent.rs
+++ b/components/metrics/src/agent.rs
@@ -13,15 +13,15 @@
     /// Number of requests that run at the target or hold a grant.
     pub running: Gauge,
     /// Number of reservations that wait in the queue.
-    pub waiting: Gauge,
+    pub waiting_reservations: Gauge,
     /// Number of requests sent to the target since the start.
     pub dispatched: Counter,
     /// Number of the target's answers that ended before they were complete.
-    pub torn: Counter,
+    pub torn_answers: Counter,
     /// Number of claims on idempotency keys that the agent stores.
     pub claims: Gauge,
     /// Epoch of the membership that the agent has applied.
-    pub epoch: Gauge,
+    pub membership_epoch: Gauge,
 }
 
 /// Creates and registers the metrics of an agent.
@@ -39,7 +39,15 @@
     registry.register("claims", "Claims that are remembered", claims.clone());
     let epoch = Gauge::default();
     registry.register("membership_epoch", "Membership epoch that is applied", epoch.clone());
-    Agent { registry, running, waiting, dispatched, torn, claims, epoch }
+    Agent {
+        registry,
+        running,
+        waiting_reservations: waiting,
+        dispatched,
+        torn_answers: torn,
+        claims,
+        membership_epoch: epoch,
+    }
 }
 
 impl Agent {
--- a/components/metrics/src/entry.rs
+++ b/components/metrics/src/entry.rs
@@ -37,9 +37,9 @@
     refusals: Family<RefusalLabels, Counter>,
     torn_answers: Family<TierLabel, Counter>,
     /// Number of requests that have arrived and whose answers haven't ended.
-    pub open: Gauge,
+    pub open_requests: Gauge,
     /// Offset of the last configuration change that the process has applied.
-    pub offset: Gauge,
+    pub configuration_offset: Gauge,
 }
 
 /// Creates and registers the metrics; at most `account_limit` client accounts get labels of their own.
@@ -54,8 +54,8 @@
         account_answer_times,
         refusals: Family::default(),
         torn_answers: Family::default(),
-        open: Gauge::default(),
-        offset: Gauge::default(),
+        open_requests: Gauge::default(),
+        configuration_offset: Gauge::default(),
         registry: Registry::default(),
     };
     let answer_help = "Time from arrival to the end of a whole answer, by tier";
@@ -68,32 +68,36 @@
         "Answers that ended torn, by tier",
         metrics.torn_answers.clone(),
     );
-    registry.register("open_requests", "Requests in progress or waiting", metrics.open.clone());
+    registry.register(
+        "open_requests",
+        "Requests in progress or waiting",
+        metrics.open_requests.clone(),
+    );
     let offset_help = "Configuration offset in force in this process";
-    registry.register("config_offset", offset_help, metrics.offset.clone());
+    registry.register("config_offset", offset_help, metrics.configuration_offset.clone());
     Entry { registry, ..metrics }
 }
 
 impl Entry {
     /// Records the time from arrival to the first byte of an answer.
-    pub fn first_byte(&self, tier: &str, after: Duration) {
+    pub fn record_first_byte(&self, tier: &str, after: Duration) {
         self.first_byte_times.get_or_create(&tier_label(tier)).observe(after.as_secs_f64());
     }
 
     /// Records the time from arrival to the end of a complete answer.
-    pub fn whole(&self, tier: &str, account: &str, after: Duration) {
+    pub fn record_answer(&self, tier: &str, account: &str, after: Duration) {
         self.answer_times.get_or_create(&tier_label(tier)).observe(after.as_secs_f64());
         self.account_answer_times.observe(account, after);
     }
 
     /// Counts a refused request; `tier` is empty where the tier isn't known.
-    pub fn refused(&self, tier: &str, reason: Reason) {
+    pub fn count_refusal(&self, tier: &str, reason: Reason) {
         let reason = reason_label(reason);
         self.refusals.get_or_create(&RefusalLabels { reason, tier: tier.to_owned() }).inc();
     }
 
     /// Counts an answer that ended before it was complete.
-    pub fn torn(&self, tier: &str) {
+    pub fn count_torn_answer(&self, tier: &str) {
         self.torn_answers.get_or_create(&tier_label(tier)).inc();
     }
 
--- a/components/metrics/src/gateway.rs
+++ b/components/metrics/src/gateway.rs
@@ -63,24 +63,24 @@
     reservations: Family<ReasonLabel, Counter>,
     relayed: Family<DataLabel, Counter>,
     /// Number of requests that haven't ended.
-    pub open: Gauge,
+    pub open_requests: Gauge,
     /// Version of the configuration in force.
-    pub version: Gauge,
+    pub configuration_version: Gauge,
     /// 1 if the configuration is known to be current, otherwise 0.
-    pub fresh: Gauge,
+    pub is_configuration_current: Gauge,
     /// Number of entry processes, this one included, whose parts of account limits this process may use.
-    pub together: Gauge,
+    pub usable_processes: Gauge,
     /// Number of targets that accept requests.
-    pub targets: Gauge,
+    pub ready_targets: Gauge,
     /// Number of targets that state a rate limit.
-    pub limited: Gauge,
+    pub limited_targets: Gauge,
     /// Size in bytes of the row of state that this process last sent to its peers.
     pub row_bytes: Gauge,
     /// Seconds since the platform last answered a read of its list of targets; infinite before the first
     /// answer.
-    pub list_age: Gauge<f64, AtomicU64>,
+    pub target_list_age: Gauge<f64, AtomicU64>,
     /// Number of log lines that were dropped because the log's queue was full.
-    pub left_out: Gauge,
+    pub dropped_log_lines: Gauge,
 }
 
 /// Creates and registers the metrics of an entry process.
@@ -100,15 +100,15 @@
         exchanges: Family::default(),
         reservations: Family::default(),
         relayed: Family::default(),
-        open: Gauge::default(),
-        version: Gauge::default(),
-        fresh: Gauge::default(),
-        together: Gauge::default(),
-        targets: Gauge::default(),
-        limited: Gauge::default(),
+        open_requests: Gauge::default(),
+        configuration_version: Gauge::default(),
+        is_configuration_current: Gauge::default(),
+        usable_processes: Gauge::default(),
+        ready_targets: Gauge::default(),
+        limited_targets: Gauge::default(),
         row_bytes: Gauge::default(),
-        list_age: Gauge::default(),
-        left_out: Gauge::default(),
+        target_list_age: Gauge::default(),
+        dropped_log_lines: Gauge::default(),
     };
     let first_event_help = "Time from dispatch to the first event or the whole answer, by tier";
     registry.register("first_event_seconds", first_event_help, metrics.first_event_times.clone());
@@ -127,24 +127,28 @@
     let relayed_help = "Times that something was given to another entry process that lacks it";
     registry.register("relayed", relayed_help, metrics.relayed.clone());
     let gauges = [
-        ("open_requests", "Requests that haven't ended", &metrics.open),
-        ("config_version", "Version of the configuration in force", &metrics.version),
-        ("config_current", "1 where the configuration is known to be current", &metrics.fresh),
+        ("open_requests", "Requests that haven't ended", &metrics.open_requests),
+        ("config_version", "Version of the configuration in force", &metrics.configuration_version),
+        (
+            "config_current",
+            "1 where the configuration is known to be current",
+            &metrics.is_configuration_current,
+        ),
         (
             "entries_together",
             "Entry processes whose parts of limits this one may use",
-            &metrics.together,
+            &metrics.usable_processes,
         ),
-        ("targets_ready", "Targets that take requests", &metrics.targets),
-        ("targets_limited", "Targets that name a rate limit", &metrics.limited),
+        ("targets_ready", "Targets that take requests", &metrics.ready_targets),
+        ("targets_limited", "Targets that name a rate limit", &metrics.limited_targets),
         ("row_bytes", "Size of the row told to other entry processes", &metrics.row_bytes),
-        ("log_lines_left_out", "Log lines that found no room", &metrics.left_out),
+        ("log_lines_left_out", "Log lines that found no room", &metrics.dropped_log_lines),
     ];
     for (name, help, gauge) in gauges {
         registry.register(name, help, gauge.clone());
     }
     let list_age_help = "Time since the platform last answered a read of its list of targets";
-    registry.register("targets_list_age_seconds", list_age_help, metrics.list_age.clone());
+    registry.register("targets_list_age_seconds", list_age_help, metrics.target_list_age.clone());
     Gateway { registry, ..metrics }
 }
 
@@ -160,24 +164,24 @@
 impl Gateway {
     /// Records the time from a dispatch to the first event of its answer, or to the end of an answer that isn't
     /// a stream.
-    pub fn first(&self, tier: u32, after: Duration) {
+    pub fn record_first_event(&self, tier: u32, after: Duration) {
         self.first_event_times.get_or_create(&TierLabel { tier }).observe(after.as_secs_f64());
     }
 
     /// Records the time from the arrival of a request to its first dispatch.
-    pub fn waited(&self, tier: u32, after: Duration) {
+    pub fn record_wait(&self, tier: u32, after: Duration) {
         self.wait_times.get_or_create(&TierLabel { tier }).observe(after.as_secs_f64());
     }
 
     /// Records the time from arrival to the end of a complete answer; `account` is `None` for requests that
     /// belong to no client account.
-    pub fn whole(&self, account: Option<&str>, after: Duration) {
+    pub fn record_answer(&self, account: Option<&str>, after: Duration) {
         self.answer_times.observe(account.unwrap_or(NO_ACCOUNT), after);
     }
 
     /// Counts a request that was answered completely (`served`) or refused, in the class of the answer length
     /// that its caller expects. `expected` is in tokens; `None` if the caller states no length.
-    pub fn sized(&self, tier: u32, expected: Option<u32>, served: bool) {
+    pub fn count_by_length(&self, tier: u32, expected: Option<u32>, served: bool) {
         let end = if served { "served" } else { "refused" };
         self.requests_by_length
             .get_or_create(&LengthLabels { tier, expected: length_label(expected), end })
@@ -185,24 +189,24 @@
     }
 
     /// Counts a refused request by its reason.
-    pub fn refused(&self, reason: &str) {
+    pub fn count_refusal(&self, reason: &str) {
         self.refusals.get_or_create(&ReasonLabel { reason: reason.to_owned() }).inc();
     }
 
     /// Counts a dispatch that ended, by its outcome.
-    pub fn ended(&self, outcome: &str) {
+    pub fn count_dispatch(&self, outcome: &str) {
         self.dispatches.get_or_create(&ReasonLabel { reason: outcome.to_owned() }).inc();
     }
 
     /// Counts an exchange of state with a peer, by whether the peer answered.
-    pub fn exchanged(&self, answered: bool) {
+    pub fn count_exchange(&self, answered: bool) {
         let reason = if answered { "answered" } else { "unanswered" };
         self.exchanges.get_or_create(&ReasonLabel { reason: reason.to_owned() }).inc();
     }
 
     /// Counts a reservation at an agent that was granted or denied, by the outcome; withdrawn ones aren't
     /// counted.
-    pub fn reserved(&self, outcome: &str) {
+    pub fn count_reservation(&self, outcome: &str) {
         self.reservations.get_or_create(&ReasonLabel { reason: outcome.to_owned() }).inc();
     }
 
--- a/components/metrics/tests/accounts.rs
+++ b/components/metrics/tests/accounts.rs
@@ -9,7 +9,7 @@
     let metrics = metrics::gateway::open();
 
     for number in 0..1_000 {
-        metrics.whole(Some(&format!("account-{number}")), Duration::from_millis(5));
+        metrics.record_answer(Some(&format!("account-{number}")), Duration::from_millis(5));
     }
 
     let text = metrics.render();
--- a/components/metrics/tests/lengths.rs
+++ b/components/metrics/tests/lengths.rs
@@ -16,8 +16,8 @@
     ];
 
     for (expected, _) in classes {
-        metrics.sized(2, expected, true);
-        metrics.sized(2, expected, false);
+        metrics.count_by_length(2, expected, true);
+        metrics.count_by_length(2, expected, false);
     }
 
     let text = metrics.render();
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -10,7 +10,7 @@
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let path: &PathBuf = matches.get_one("settings").expect("clap requires it");
     let checked = if matches.get_flag("platform") {
-        platform::load(path).map(drop)
+        platform::load_entry(path).map(drop)
     } else if matches.get_flag("agent") {
         settings::load_agent(path).map(drop)
     } else {
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -27,7 +27,7 @@
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let path: &PathBuf = matches.get_one("settings").expect("clap requires it");
     let log = metrics::log::spawn();
-    let settings = match platform::load(path) {
+    let settings = match platform::load_entry(path) {
         Ok(settings) => settings,
         Err(findings) => return exit::faulty(path, &findings),
     };
@@ -50,9 +50,9 @@
     settings: Settings,
     left_out: ErrorCounter,
 ) -> Result<(), gateway::Error> {
-    let mut terminate = signal(SignalKind::terminate()).map_err(gateway::Error::Thread)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(gateway::Error::Thread)?;
-    let mut hangup = signal(SignalKind::hangup()).map_err(gateway::Error::Thread)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(gateway::Error::Start)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(gateway::Error::Start)?;
+    let mut hangup = signal(SignalKind::hangup()).map_err(gateway::Error::Start)?;
     let mut look = interval(LOOK);
     let metrics = Arc::new(metrics::gateway::open());
     let feed = platform::feed::open(&settings);
@@ -69,7 +69,7 @@
             _ = hangup.recv() => known = reload(path, known, &gateway),
             _ = look.tick() => {
                 known = reload(path, known, &gateway);
-                metrics.left_out.set(left_out.dropped_lines().try_into().unwrap_or(i64::MAX));
+                metrics.dropped_log_lines.set(left_out.dropped_lines().try_into().unwrap_or(i64::MAX));
             }
         }
     }
@@ -81,7 +81,7 @@
 /// Reads the settings again. New entry processes are heard of at once; all else that changed holds
 /// from the next start, and a file that is faulty changes nothing.
 fn reload(path: &Path, known: Settings, gateway: &gateway::Handle) -> Settings {
-    let mut read = match platform::load(path) {
+    let mut read = match platform::load_entry(path) {
         Ok(read) => read,
         Err(findings) => {
             for finding in findings {
@@ -93,7 +93,7 @@
     read.gateway.direct.incarnation = known.gateway.direct.incarnation;
     if read != known {
         info!(seeds = ?read.gateway.seeds, "the settings changed");
-        gateway.introduce(&read.gateway.seeds);
+        gateway.add_peers(&read.gateway.seeds);
     }
     read
 }
