--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -82,7 +82,7 @@
         self.reduce(Event::Limited(limit));
         let interval = self.state.limit();
         if before != interval {
-            let (address, per_second) = (self.target.address, interval.map(rate::per_second));
+            let (address, per_second) = (self.target.address, interval.map(rate::rate_at_interval));
             info!(%address, per_second, age_ms = limit.age.as_millis() as u64, "the rate limit changed");
         }
     }
--- a/components/api/src/history.rs
+++ b/components/api/src/history.rs
@@ -6,7 +6,7 @@
 };
 
 use model::{change::Action, id::Offset, resource::Kind};
-use scheduler::config::{Outcome, Step};
+use scheduler::config::{AppliedRecord, Outcome};
 
 use crate::view::Event;
 
@@ -35,7 +35,7 @@
 
 impl History {
     /// Adds what the fold did with the next record.
-    pub fn push(&self, step: Step) {
+    pub fn push(&self, step: AppliedRecord) {
         let Some(action) = step.action else {
             return;
         };
--- a/components/api/src/view.rs
+++ b/components/api/src/view.rs
@@ -6,7 +6,7 @@
     presence::Report,
     resource::Key,
 };
-use scheduler::config::Versioned;
+use scheduler::config::VersionedResource;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -19,8 +19,8 @@
     pub resource: Resource,
 }
 
-impl From<&Versioned> for Item {
-    fn from(versioned: &Versioned) -> Item {
+impl From<&VersionedResource> for Item {
+    fn from(versioned: &VersionedResource) -> Item {
         Item { version: versioned.version, resource: versioned.resource.clone() }
     }
 }
--- a/components/evidence/src/recorder/entry.rs
+++ b/components/evidence/src/recorder/entry.rs
@@ -114,8 +114,10 @@
                     facts.push(refused(state, open, owner, refusal));
                 }
             }
-            Effect::Applied(config::Step {
-                outcome: config::Outcome::Accepted(_), action, ..
+            Effect::Applied(config::AppliedRecord {
+                outcome: config::Outcome::Accepted(_),
+                action,
+                ..
             }) => {
                 self.change(action.as_ref(), facts);
             }
--- a/components/scheduler/examples/snapshot.rs
+++ b/components/scheduler/examples/snapshot.rs
@@ -8,7 +8,7 @@
     change::{Action, SCHEMA},
     credential, snapshot as snapshot_parts,
 };
-use scheduler::config::{State, outcomes::WINDOW, snapshot};
+use scheduler::config::{State, outcomes::RETAINED_OFFSETS, snapshot};
 use serde_json::{Value, json};
 use uuid::Uuid;
 
@@ -23,7 +23,10 @@
     let started = Instant::now();
     let taken = state.snapshot();
     let outcomes = taken.outcomes.len();
-    println!("taken      in {:?}, {outcomes} outcomes of at most {WINDOW}", started.elapsed());
+    println!(
+        "taken      in {:?}, {outcomes} outcomes of at most {RETAINED_OFFSETS}",
+        started.elapsed()
+    );
 
     let started = Instant::now();
     let text = taken.render();
--- a/components/scheduler/examples/window.rs
+++ b/components/scheduler/examples/window.rs
@@ -41,9 +41,10 @@
     let shed_count_of =
         |rank| world.sheds.iter().filter(|shed| usize::from(shed.rank) == rank).count();
     let sheds_by_tier: Vec<usize> = (0..TIERS.len()).map(shed_count_of).collect();
-    let inversions = world.sheds.iter().filter(|s| s.lowest_here.is_some_and(|low| low > s.rank));
+    let inversions =
+        world.sheds.iter().filter(|s| s.lowest_waiting_at_entry.is_some_and(|low| low > s.rank));
     let inversion_windows: Vec<Duration> =
-        world.sheds.iter().filter_map(|shed| shed.window).collect();
+        world.sheds.iter().filter_map(|shed| shed.longest_since_denial).collect();
     let longest_window = inversion_windows.iter().max().copied().unwrap_or_default();
     let (arrivals_total, inversions) = (world.ranks.len(), inversions.count());
     println!(
@@ -56,12 +57,13 @@
     let in_transit = world.network.len();
     // Messages that were sent before this step are delivered in it; their answers are sent in it.
     for _ in 0..in_transit {
-        world.deliver_first();
+        world.deliver_first_ignoring_freeze();
     }
     world.advance(MESSAGE_DELAY);
-    let ending_runs = (0..world.running()).rev().filter(|_| rng.random_bool(1.0 / MEAN_RUN_STEPS));
+    let ending_runs =
+        (0..world.running_count()).rev().filter(|_| rng.random_bool(1.0 / MEAN_RUN_STEPS));
     let ending_runs: Vec<usize> = ending_runs.collect();
-    ending_runs.into_iter().for_each(|index| world.end_run(index));
+    ending_runs.into_iter().for_each(|index| world.finish_request(index));
     let arrivals = arrivals_per_step.trunc() as usize
         + usize::from(rng.random_bool(arrivals_per_step.fract()));
     for _ in 0..arrivals {
--- a/components/scheduler/src/agent/mod.rs
+++ b/components/scheduler/src/agent/mod.rs
@@ -20,7 +20,7 @@
     reservation::{Ask, Denial, Fate, Grant, Id, Limit, Load},
 };
 
-use crate::rate::{News, Pacer};
+use crate::rate::{Pacer, RateLimitReport};
 
 pub use estimate::Policy;
 pub use event::{Effect, Event};
@@ -126,7 +126,7 @@
     /// Requests in flight at the target that were sent without a reservation at this agent.
     unreserved_requests: usize,
     /// Most recent report about the target's rate limit; `None` before the first report.
-    rate_limit: Option<News>,
+    rate_limit: Option<RateLimitReport>,
     /// Spaces grants to respect the rate limit; `Some` only while `rate_limit` has an interval.
     pacer: Option<Pacer>,
     /// When the rate limit allows the next grant; `None` unless only the rate limit delays it.
@@ -238,12 +238,12 @@
     fn update_rate_limit(&mut self, now: Instant, limit: Limit) {
         let Limit { interval, age } = limit;
         let at = now.checked_sub(age).unwrap_or(now);
-        if self.rate_limit.is_some_and(|known| known.at >= at) {
+        if self.rate_limit.is_some_and(|known| known.stated_at >= at) {
             return;
         }
-        self.rate_limit = Some(News { interval, at });
+        self.rate_limit = Some(RateLimitReport { interval, stated_at: at });
         match (interval, &mut self.pacer) {
-            (Some(interval), Some(pacer)) => pacer.set(interval),
+            (Some(interval), Some(pacer)) => pacer.set_interval(interval),
             (interval, _) => {
                 self.pacer = interval.map(|interval| Pacer::open(now, interval));
             }
@@ -396,7 +396,8 @@
             {
                 return;
             }
-            self.next_grant_at = self.pacer.map(|pacer| pacer.next()).filter(|&next| next > now);
+            self.next_grant_at =
+                self.pacer.map(|pacer| pacer.next_allowed_at()).filter(|&next| next > now);
             if self.next_grant_at.is_some() {
                 return;
             }
@@ -404,7 +405,7 @@
                 return;
             };
             if let Some(pacer) = &mut self.pacer {
-                pacer.take(now);
+                pacer.record_send(now);
             }
             self.held_slots += 1;
             self.held_tokens += waiting.tokens;
@@ -508,7 +509,7 @@
     /// Returns an unused grant's share of the rate limit, so that another grant can use it.
     fn return_rate_share(&mut self, usage: Usage) {
         if let Some(pacer) = self.pacer.as_mut().filter(|_| usage.is_rate_limited) {
-            pacer.give_back();
+            pacer.undo_send();
         }
     }
 
--- a/components/scheduler/src/config.rs
+++ b/components/scheduler/src/config.rs
@@ -28,7 +28,7 @@
 
 /// A stored resource with its current version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Versioned {
+pub struct VersionedResource {
     /// Offset of the last accepted change to the resource.
     pub version: Offset,
     /// The resource as of that version.
@@ -52,7 +52,7 @@
 
 /// The result of applying one record of the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Step {
+pub struct AppliedRecord {
     /// Offset of the record.
     pub offset: Offset,
     /// The decision on the record's change; a record that can't be parsed as a change is rejected.
@@ -81,7 +81,7 @@
 pub struct State {
     /// Highest offset applied; 0 before the first record. It never decreases.
     applied: Offset,
-    resources: BTreeMap<Key, Versioned>,
+    resources: BTreeMap<Key, VersionedResource>,
     /// Outcomes of recent changes by change id, so that a retried change has no second effect.
     outcomes: Outcomes,
     /// Index over the accounts in `resources`, by the hash of their API key.
@@ -101,11 +101,15 @@
     /// Applies the next record and returns the decision on it; a record that isn't a change is rejected.
     /// Fails where `offset` isn't the one after the highest offset applied.
     pub fn apply(&mut self, offset: Offset, payload: &str) -> Result<Outcome, Error> {
-        Ok(self.step(offset, payload)?.outcome)
+        Ok(self.apply_with_action(offset, payload)?.outcome)
     }
 
     /// Applies the next record, as [`State::apply`] does, and returns its action along with the decision.
-    pub fn step(&mut self, offset: Offset, payload: &str) -> Result<Step, Error> {
+    pub fn apply_with_action(
+        &mut self,
+        offset: Offset,
+        payload: &str,
+    ) -> Result<AppliedRecord, Error> {
         if offset <= self.applied {
             return Err(Error::Stale(offset));
         }
@@ -117,11 +121,11 @@
         match serde_json::from_str::<Change>(payload) {
             Ok(change) => {
                 let outcome = self.decide(offset, &change);
-                Ok(Step { offset, outcome, action: Some(change.action) })
+                Ok(AppliedRecord { offset, outcome, action: Some(change.action) })
             }
             Err(error) => {
                 let outcome = Outcome::Rejected(vec![Finding::new("record", error.to_string())]);
-                Ok(Step { offset, outcome, action: None })
+                Ok(AppliedRecord { offset, outcome, action: None })
             }
         }
     }
@@ -154,19 +158,19 @@
     }
 
     /// Returns a resource by its key.
-    pub fn get(&self, key: &Key) -> Option<&Versioned> {
+    pub fn get(&self, key: &Key) -> Option<&VersionedResource> {
         self.resources.get(key)
     }
 
     /// Returns all resources of a kind, ordered by name.
-    pub fn list(&self, kind: Kind) -> impl Iterator<Item = &Versioned> {
+    pub fn list(&self, kind: Kind) -> impl Iterator<Item = &VersionedResource> {
         let first = Key { kind, name: String::new() };
         let following = self.resources.range(first..);
         following.take_while(move |(key, _)| key.kind == kind).map(|(_, versioned)| versioned)
     }
 
     /// Returns the resources of a kind whose names sort after `name`, ordered by name.
-    pub fn list_after(&self, kind: Kind, name: &str) -> impl Iterator<Item = &Versioned> {
+    pub fn list_after(&self, kind: Kind, name: &str) -> impl Iterator<Item = &VersionedResource> {
         let from = Bound::Excluded(Key { kind, name: name.to_owned() });
         let after = self.resources.range((from, Bound::Unbounded));
         after.take_while(move |(key, _)| key.kind == kind).map(|(_, versioned)| versioned)
@@ -216,7 +220,7 @@
         names.filter_map(|name| self.target(name))
     }
 
-    fn find(&self, kind: Kind, name: &str) -> Option<&Versioned> {
+    fn find(&self, kind: Kind, name: &str) -> Option<&VersionedResource> {
         self.resources.get(&Key { kind, name: name.to_owned() })
     }
 
@@ -244,7 +248,7 @@
         }
         if let Action::Put(resource) = action {
             self.index(&resource);
-            self.resources.insert(key, Versioned { version, resource });
+            self.resources.insert(key, VersionedResource { version, resource });
         }
     }
 
@@ -335,12 +339,12 @@
     }
 
     fn rank_findings(&self, tier: &Tier) -> Vec<Finding> {
-        let same_rank = |other: &&Versioned| match &other.resource {
+        let same_rank = |other: &&VersionedResource| match &other.resource {
             Resource::Tier(other) => other.rank == tier.rank && other.name != tier.name,
             _ => false,
         };
         let taken = self.list(Kind::Tier).find(same_rank);
-        let report = |other: &Versioned| {
+        let report = |other: &VersionedResource| {
             Finding::new("rank", format!("tier `{}` has this rank", other.resource.key().name))
         };
         taken.map(report).into_iter().collect()
@@ -367,7 +371,7 @@
             _ => false,
         };
         let users = self.resources.values().filter(|versioned| uses(&versioned.resource));
-        let report = |user: &Versioned| {
+        let report = |user: &VersionedResource| {
             let user = user.resource.key();
             Finding::new("key", format!("{:?} `{}` still uses it", user.kind, user.name))
         };
--- a/components/scheduler/src/config/outcomes.rs
+++ b/components/scheduler/src/config/outcomes.rs
@@ -12,7 +12,7 @@
 use super::Outcome;
 
 /// Number of offsets for which the outcome of a change is kept: 7.5 hours at 52,000 changes a day.
-pub const WINDOW: Offset = 16_384;
+pub const RETAINED_OFFSETS: Offset = 16_384;
 
 /// The outcome of one change, as it is kept and stored in snapshots.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -68,7 +68,7 @@
     /// Removes the outcomes that are no longer kept once `applied` is the highest offset applied.
     pub fn trim(&mut self, applied: Offset) {
         while let Some(oldest) = self.by_offset.first_entry() {
-            if oldest.key() + WINDOW > applied {
+            if oldest.key() + RETAINED_OFFSETS > applied {
                 return;
             }
             self.by_id.remove(&oldest.remove());
--- a/components/scheduler/src/config/snapshot.rs
+++ b/components/scheduler/src/config/snapshot.rs
@@ -3,21 +3,21 @@
 use model::id::Offset;
 use serde::{Deserialize, Serialize};
 
-use super::{Error, State, Versioned, outcomes::RememberedOutcome};
+use super::{Error, State, VersionedResource, outcomes::RememberedOutcome};
 
 /// Version of the snapshot format; a reader rejects a snapshot of any other version.
-pub const SCHEMA: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// The whole [`State`] as of one offset; equal states give equal snapshots.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
-    /// Version of the snapshot format; see [`SCHEMA`].
+    /// Version of the snapshot format; see [`FORMAT_VERSION`].
     pub schema: u32,
     /// Highest offset applied to the state when the snapshot was taken.
     pub applied: Offset,
     /// All resources, ordered by key.
-    pub resources: Vec<Versioned>,
+    pub resources: Vec<VersionedResource>,
     /// Outcomes of recent changes that the state still keeps, oldest first.
     pub outcomes: Vec<RememberedOutcome>,
 }
@@ -29,17 +29,17 @@
     }
 }
 
-/// Parses a snapshot; `None` where the text isn't a snapshot of format version [`SCHEMA`].
+/// Parses a snapshot; `None` where the text isn't a snapshot of format version [`FORMAT_VERSION`].
 pub fn parse(text: &str) -> Option<Snapshot> {
     let snapshot: Snapshot = serde_json::from_str(text).ok()?;
-    (snapshot.schema == SCHEMA).then_some(snapshot)
+    (snapshot.schema == FORMAT_VERSION).then_some(snapshot)
 }
 
 impl State {
     /// Returns a snapshot of this state.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
-            schema: SCHEMA,
+            schema: FORMAT_VERSION,
             applied: self.applied,
             resources: self.resources.values().cloned().collect(),
             outcomes: self.outcomes.iter().cloned().collect(),
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -22,7 +22,7 @@
     reservation::Load,
 };
 
-use crate::rate::{News, Pacer};
+use crate::rate::{Pacer, RateLimitReport};
 
 use demand::compare_costs;
 pub use demand::{AdmissionModes, Demand, Slot};
@@ -100,7 +100,7 @@
     /// Moving average of the part of requests, from 0 to 1, that failed or were lost.
     failure_rate: f64,
     /// The newest information on the target's rate limit; `None` if the target never named one.
-    limit: Option<News>,
+    limit: Option<RateLimitReport>,
     /// Spaces requests that are sent without an agent's grant; `Some` only while `limit` has an interval.
     pacer: Option<Pacer>,
     /// Estimate of when the agent admits the next request; used only while the target is rate-limited.
@@ -394,7 +394,7 @@
         let index = *self.indexes.get(&best.target.name)?;
         let state = self.states.get_mut(index)?;
         if let Some(pacer) = &mut state.pacer {
-            pacer.take(now);
+            pacer.record_send(now);
         }
         Some(state.occupy(demand.prompt_tokens, default_ms_per_token))
     }
@@ -514,7 +514,7 @@
     /// Returns the next time at which a backoff ends or a rate limit allows a request; `None` if there is
     /// none.
     pub fn next_available(&self, now: Instant) -> Option<Instant> {
-        let paced_at = |state: &TargetState| state.pacer.map(|pacer| pacer.next());
+        let paced_at = |state: &TargetState| state.pacer.map(|pacer| pacer.next_allowed_at());
         let times = self
             .states
             .iter()
--- a/components/scheduler/src/direct/capacity/limits.rs
+++ b/components/scheduler/src/direct/capacity/limits.rs
@@ -8,7 +8,7 @@
 
 use model::{id::TargetName, reservation::Limit};
 
-use crate::rate::{self, News, Pacer};
+use crate::rate::{self, Pacer, RateLimitReport};
 
 use super::{super::event::Incarnation, Capacity, ProcessIndex, Slot, TargetState};
 
@@ -23,8 +23,8 @@
     /// Returns the target's rate limit in requests per second and the age of that information; `None` if
     /// the target isn't limited.
     pub fn limit_per_second(&self, now: Instant) -> Option<(f64, Duration)> {
-        let News { interval, at } = self.limit?;
-        Some((rate::per_second(interval?), now.saturating_duration_since(at)))
+        let RateLimitReport { interval, stated_at: at } = self.limit?;
+        Some((rate::rate_at_interval(interval?), now.saturating_duration_since(at)))
     }
 
     /// Reports whether a rate limit applies to the target.
@@ -35,7 +35,7 @@
     /// Returns the newest information on the target's limit, as it is sent to agents and entry processes;
     /// `None` if the target never named a limit.
     pub fn limit_report(&self, now: Instant) -> Option<Limit> {
-        let News { interval, at } = self.limit?;
+        let RateLimitReport { interval, stated_at: at } = self.limit?;
         Some(Limit { interval, age: now.saturating_duration_since(at) })
     }
 
@@ -46,12 +46,13 @@
 
     /// Reports whether the target's limit allows this process to send a request now without an agent's grant.
     pub(super) fn limit_allows(&self, now: Instant, process: ProcessIndex) -> bool {
-        let (Some(pacer), Some(news)) = (self.pacer, self.limit) else {
+        let (Some(pacer), Some(report)) = (self.pacer, self.limit) else {
             return true;
         };
-        let turns = now.saturating_duration_since(news.at).as_secs() / TURN_DURATION.as_secs();
+        let turns =
+            now.saturating_duration_since(report.stated_at).as_secs() / TURN_DURATION.as_secs();
         let rotated = u64::from(self.rotated_index(process)) + turns;
-        rotated.is_multiple_of(u64::from(process.count)) && pacer.next() <= now
+        rotated.is_multiple_of(u64::from(process.count)) && pacer.next_allowed_at() <= now
     }
 
     /// Returns the estimated time, in ms, until the agent admits a request; 0 if the target isn't limited.
@@ -79,10 +80,10 @@
     }
 
     /// Replaces the information on the limit and adapts the spacing of requests without an agent's grant.
-    fn record_limit(&mut self, now: Instant, news: News) {
-        self.limit = Some(news);
+    fn record_limit(&mut self, now: Instant, report: RateLimitReport) {
+        self.limit = Some(report);
         match (self.interval_without_agent(), &mut self.pacer) {
-            (Some(interval), Some(pacer)) => pacer.set(interval),
+            (Some(interval), Some(pacer)) => pacer.set_interval(interval),
             _ => self.reset_pacer(now),
         }
     }
@@ -96,17 +97,17 @@
         now: Instant,
         name: &TargetName,
         incarnation: Incarnation,
-        news: News,
+        report: RateLimitReport,
     ) -> bool {
         let Some(state) = self.state_mut(name, incarnation) else {
             return false;
         };
-        if state.limit.is_some_and(|known| known.at >= news.at) {
+        if state.limit.is_some_and(|known| known.stated_at >= report.stated_at) {
             return false;
         }
         let before = state.interval();
-        state.record_limit(now, news);
-        before != news.interval
+        state.record_limit(now, report);
+        before != report.interval
     }
 
     /// Records that the answer to a request dispatched at `dispatched` named no limit. Returns whether this
@@ -114,9 +115,9 @@
     pub fn clear_limit(&mut self, now: Instant, slot: &Slot, dispatched: Instant) -> bool {
         let state = self.state(&slot.target);
         let known = state.and_then(|state| state.limit);
-        let news = News { interval: None, at: now };
-        known.is_some_and(|known| known.is_over(dispatched))
-            && self.record_limit(now, &slot.target, slot.incarnation, news)
+        let report = RateLimitReport { interval: None, stated_at: now };
+        known.is_some_and(|known| known.is_lifted_by(dispatched))
+            && self.record_limit(now, &slot.target, slot.incarnation, report)
     }
 
     /// Counts a reservation at a rate-limited target, which delays the estimate of its agent's next grant.
--- a/components/scheduler/src/direct/rates.rs
+++ b/components/scheduler/src/direct/rates.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::rate::{self, News};
+use crate::rate::{self, RateLimitReport};
 
 use super::{
     State,
@@ -25,8 +25,9 @@
         };
         in_flight.has_rate_limit = true;
         let (name, incarnation) = (in_flight.slot.target.clone(), in_flight.slot.incarnation);
-        let news = News { interval: Some(rate::interval(per_second)), at: now };
-        if self.capacity.record_limit(now, &name, incarnation, news) {
+        let report =
+            RateLimitReport { interval: Some(rate::interval_at_rate(per_second)), stated_at: now };
+        if self.capacity.record_limit(now, &name, incarnation, report) {
             effects.push(Effect::Log(LogEntry::RateLimitChanged {
                 target: name,
                 per_second: Some(per_second),
@@ -44,9 +45,9 @@
     ) {
         for TargetLimit { target, incarnation, limit } in limits {
             let at = now.checked_sub(age + limit.age).unwrap_or(now);
-            let news = News { interval: limit.interval, at };
-            if self.capacity.record_limit(now, target, *incarnation, news) {
-                let per_second = limit.interval.map(rate::per_second);
+            let report = RateLimitReport { interval: limit.interval, stated_at: at };
+            if self.capacity.record_limit(now, target, *incarnation, report) {
+                let per_second = limit.interval.map(rate::rate_at_interval);
                 effects.push(Effect::Log(LogEntry::RateLimitChanged {
                     target: target.clone(),
                     per_second,
--- a/components/scheduler/src/entry/event.rs
+++ b/components/scheduler/src/entry/event.rs
@@ -231,7 +231,7 @@
     /// process the offset may already be applied; the read then confirms that it is the highest.
     CatchUp(Offset),
     /// A record of the configuration stream was applied.
-    Applied(config::Step),
+    Applied(config::AppliedRecord),
     /// The configuration was replaced by a snapshot as of this offset.
     Restored(Offset),
     /// A record or a snapshot of the configuration couldn't be applied.
--- a/components/scheduler/src/entry/feed.rs
+++ b/components/scheduler/src/entry/feed.rs
@@ -16,7 +16,7 @@
     /// reported as [`Effect::NotApplied`] and leaves the configuration unchanged.
     pub(super) fn apply_config_records(&mut self, records: Vec<Record>, effects: &mut Vec<Effect>) {
         for record in records {
-            match self.config.step(record.offset, &record.payload) {
+            match self.config.apply_with_action(record.offset, &record.payload) {
                 Ok(step) => effects.push(Effect::Applied(step)),
                 Err(error) => effects.push(Effect::NotApplied(error)),
             }
--- a/components/scheduler/src/entry/suspects.rs
+++ b/components/scheduler/src/entry/suspects.rs
@@ -6,7 +6,7 @@
 use model::{Refusal, id::RequestId, refusal::Reason};
 
 use super::{Effect, Record, State};
-use crate::suspect::Standing;
+use crate::suspect::BodyStatus;
 
 /// Time for which this process suspects a body whose request started and ended without a whole
 /// answer. If an engine crashed, the record of the crash has been read by the end of this time.
@@ -52,10 +52,10 @@
             return false;
         };
         let body = pending.request.fingerprint;
-        let standing = self.suspects.standing(body);
+        let status = self.suspects.status(body);
         let is_locally_suspected = self.local_suspects.get(&body).is_some_and(|until| *until > now);
-        pending.runs_alone |= is_locally_suspected || standing.is_some();
-        standing == Some(Standing::Quarantined)
+        pending.runs_alone |= is_locally_suspected || status.is_some();
+        status == Some(BodyStatus::Quarantined)
     }
 
     /// Refuses a request whose body crashed targets. `wait` is the retry delay for the caller:
--- a/components/scheduler/src/rate.rs
+++ b/components/scheduler/src/rate.rs
@@ -18,30 +18,30 @@
 
 /// The latest information on a target's rate limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct News {
+pub struct RateLimitReport {
     /// Mean interval between two requests; `None` where the limit is lifted.
     pub interval: Option<Duration>,
     /// When the answer that showed this arrived.
-    pub at: Instant,
+    pub stated_at: Instant,
 }
 
 /// Returns the mean interval between two requests at a rate per second, at most `INTERVAL_MAX`. A rate
 /// of zero, a negative rate and NaN give `INTERVAL_MAX`.
-pub fn interval(per_second: f64) -> Duration {
+pub fn interval_at_rate(per_second: f64) -> Duration {
     Duration::try_from_secs_f64(per_second.recip())
         .map_or(INTERVAL_MAX, |interval| interval.min(INTERVAL_MAX))
 }
 
 /// Returns the requests per second at a mean interval between two requests.
-pub fn per_second(interval: Duration) -> f64 {
+pub fn rate_at_interval(interval: Duration) -> f64 {
     interval.as_secs_f64().recip()
 }
 
-impl News {
+impl RateLimitReport {
     /// Returns whether this limit is lifted, given that the answer to a request dispatched at `dispatched`
     /// states no limit. It isn't where the request was dispatched within `LIFT_DELAY` of the limit.
-    pub fn is_over(&self, dispatched: Instant) -> bool {
-        self.interval.is_some() && dispatched >= self.at + LIFT_DELAY
+    pub fn is_lifted_by(&self, dispatched: Instant) -> bool {
+        self.interval.is_some() && dispatched >= self.stated_at + LIFT_DELAY
     }
 }
 
@@ -64,24 +64,24 @@
     }
 
     /// Changes the mean interval of the following requests.
-    pub fn set(&mut self, interval: Duration) {
+    pub fn set_interval(&mut self, interval: Duration) {
         self.interval = interval;
     }
 
     /// Returns the earliest time at which the next request may be sent; it may be in the past.
-    pub fn next(&self) -> Instant {
+    pub fn next_allowed_at(&self) -> Instant {
         self.theoretical_arrival
             .checked_sub(self.burst_tolerance())
             .unwrap_or(self.theoretical_arrival)
     }
 
     /// Counts a request that is sent now.
-    pub fn take(&mut self, now: Instant) {
+    pub fn record_send(&mut self, now: Instant) {
         self.theoretical_arrival = self.theoretical_arrival.max(now) + self.interval;
     }
 
-    /// Undoes [`Pacer::take`] for a request that wasn't sent after all.
-    pub fn give_back(&mut self) {
+    /// Undoes [`Pacer::record_send`] for a request that wasn't sent after all.
+    pub fn undo_send(&mut self) {
         self.theoretical_arrival =
             self.theoretical_arrival.checked_sub(self.interval).unwrap_or(self.theoretical_arrival);
     }
--- a/components/scheduler/src/suspect.rs
+++ b/components/scheduler/src/suspect.rs
@@ -16,7 +16,7 @@
 
 /// How a request body is classified because of crashes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Standing {
+pub enum BodyStatus {
     /// The body ran when an engine crashed; it may only run alone.
     Suspected,
     /// An engine crashed while the suspected body ran alone; it must not run again.
@@ -29,16 +29,16 @@
     /// Highest offset applied; 0 before the first record.
     applied: Offset,
     /// Suspected and quarantined bodies; a body that isn't here is neither.
-    standings: BTreeMap<Fingerprint, Standing>,
-    /// Fingerprints in the order in which they became suspected. All bodies in `standings` are here; bodies
+    statuses: BTreeMap<Fingerprint, BodyStatus>,
+    /// Fingerprints in the order in which they became suspected. All bodies in `statuses` are here; bodies
     /// that have been cleared since stay, and a body that was suspected again after that is here twice.
     suspicion_order: VecDeque<Fingerprint>,
 }
 
 impl State {
     /// Returns how a body is classified; `None` where it is neither suspected nor quarantined.
-    pub fn standing(&self, body: Fingerprint) -> Option<Standing> {
-        self.standings.get(&body).copied()
+    pub fn status(&self, body: Fingerprint) -> Option<BodyStatus> {
+        self.statuses.get(&body).copied()
     }
 
     /// Applies a record. A record that was applied before or can't be parsed changes nothing. Offsets may be
@@ -57,8 +57,8 @@
         match action {
             Action::Crash(crash) => self.apply_crash(&crash),
             Action::Clear(clear) => {
-                if self.standing(clear.fingerprint) == Some(Standing::Suspected) {
-                    self.standings.remove(&clear.fingerprint);
+                if self.status(clear.fingerprint) == Some(BodyStatus::Suspected) {
+                    self.statuses.remove(&clear.fingerprint);
                 }
             }
         }
@@ -67,20 +67,20 @@
     /// Suspects the bodies that ran at a crash, or quarantines a suspected body that ran alone.
     fn apply_crash(&mut self, crash: &Crash) {
         for body in &crash.running {
-            match self.standing(*body) {
-                Some(Standing::Suspected) if crash.alone => {
-                    self.standings.insert(*body, Standing::Quarantined);
+            match self.status(*body) {
+                Some(BodyStatus::Suspected) if crash.alone => {
+                    self.statuses.insert(*body, BodyStatus::Quarantined);
                 }
                 Some(_) => {}
                 None => {
-                    self.standings.insert(*body, Standing::Suspected);
+                    self.statuses.insert(*body, BodyStatus::Suspected);
                     self.suspicion_order.push_back(*body);
                 }
             }
         }
         while self.suspicion_order.len() > MAX_BODIES {
             if let Some(oldest) = self.suspicion_order.pop_front() {
-                self.standings.remove(&oldest);
+                self.statuses.remove(&oldest);
             }
         }
     }
--- a/components/scheduler/tests/claim_fuzz.rs
+++ b/components/scheduler/tests/claim_fuzz.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use support::{
-    cases,
+    proptest_config,
     world::{self, Stage, World},
 };
 
@@ -147,16 +147,18 @@
     match step {
         Step::Arrive { key: number, lag, skew } => world.arrive(key(number), lag, skew),
         Step::Repeat { attempt: number, lag } => {
-            attempt(world, number).into_iter().for_each(|index| world.claim(index, lag));
+            attempt(world, number).into_iter().for_each(|index| world.send_claim(index, lag));
+        }
+        Step::Run(number) => {
+            attempt(world, number).into_iter().for_each(|index| world.run_attempt(index))
         }
-        Step::Run(number) => attempt(world, number).into_iter().for_each(|index| world.run(index)),
         Step::Release(number) => {
             attempt(world, number).into_iter().for_each(|index| release(world, index));
         }
         Step::Deliver(number) => {
             message(world, number).into_iter().for_each(|index| world.deliver(index));
         }
-        Step::DeliverAll => world.settle_down(),
+        Step::DeliverAll => world.deliver_all(),
         Step::Lose { message: number, after_effect } => {
             message(world, number).into_iter().for_each(|index| world.lose(index, after_effect));
         }
@@ -166,17 +168,17 @@
             let copy = copy.filter(|m| !matches!(m, world::Message::HandOver { .. }));
             world.messages.extend(copy);
         }
-        Step::Start(agent) => world.start(agent),
+        Step::Start(agent) => world.start_agent(agent),
         Step::Kill(agent) => world.kill(agent),
         Step::CatchUp { agent, behind } => {
             world.catch_up(agent, world.epoch().saturating_sub(behind))
         }
         Step::HandOver(agent) => world.hand_over(agent),
-        Step::Freeze(agent) => world.freeze(agent),
+        Step::Freeze(agent) => world.stop_granting(agent),
         Step::Leave(agent) => world.leave(agent),
-        Step::Thaw(agent) => world.thaw(agent),
+        Step::Thaw(agent) => world.resume_granting(agent),
         Step::Drain(agent) => world.drain(agent),
-        Step::Remove(agent) => world.remove(agent),
+        Step::Remove(agent) => world.append_removal(agent),
         Step::Rejoin(agent) => world.rejoin(agent),
         Step::Advance(by) => world.advance(by),
     }
@@ -186,8 +188,8 @@
 /// `not_run`, which must not be answered for a key that ran.
 fn release(world: &mut World, index: usize) {
     let key = world.attempts[index].key;
-    if world.release(index) {
-        assert!(!world.ran.contains(&key), "`not_run` was answered for a key that ran");
+    if world.cancel_attempt(index) {
+        assert!(!world.ran_keys.contains(&key), "`not_run` was answered for a key that ran");
     }
 }
 
@@ -195,10 +197,14 @@
 /// deadline can't run any more, so a key with one may have another holder.
 fn assert_at_most_one_run(world: &World) {
     for key in (0..KEY_COUNT).map(key) {
-        let ran = world.ran.iter().filter(|ran| **ran == key).count();
+        let ran = world.ran_keys.iter().filter(|ran| **ran == key).count();
         assert!(ran <= 1, "a key ran {ran} times");
-        let holders = world.attempts.iter().filter(|a| a.key == key && a.stage == Stage::Held);
-        assert!(holders.count() + ran <= 1 || world.is_late(key), "two attempts may run");
+        let holders =
+            world.attempts.iter().filter(|a| a.key == key && a.stage == Stage::ClaimGranted);
+        assert!(
+            holders.count() + ran <= 1 || world.has_attempt_past_deadline(key),
+            "two attempts may run"
+        );
     }
 }
 
@@ -238,7 +244,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(cases(1_500))]
+    #![proptest_config(proptest_config(1_500))]
 
     #[test]
     fn a_key_without_a_time_runs_at_most_once(sequential 20..120 => OpaqueKeyTest);
--- a/components/scheduler/tests/claiming.rs
+++ b/components/scheduler/tests/claiming.rs
@@ -19,7 +19,7 @@
     agent::Room,
     entry::{self, Effect, Event, HOST_ABSENCE_TIMEOUT, Record, Request, State},
 };
-use support::{epoch_clock, join, run};
+use support::{incarnation_id, join_record, start_time};
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(30);
@@ -36,7 +36,7 @@
 fn open_entry() -> Entry {
     let grant = Duration::from_millis(200);
     let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, 8);
-    let record = Record { offset: 1, payload: join(0, 1, epoch_clock()) };
+    let record = Record { offset: 1, payload: join_record(0, 1, start_time()) };
     let mut entry = Entry { state: world.entries.remove(0), now: world.now };
     entry.handle(Event::Members(vec![record]));
     entry
@@ -73,7 +73,7 @@
 
 /// Returns the id of the only request that the tests send.
 fn request_id() -> RequestId {
-    run(7)
+    incarnation_id(7)
 }
 
 /// Returns the first refusal's reason, whether the request ran, and whether there is a retry delay.
@@ -253,7 +253,7 @@
 }
 
 fn host(index: usize) -> Host {
-    Host { name: support::target(index), zone: "a".to_owned(), state: host::State::Live }
+    Host { name: support::target_name(index), zone: "a".to_owned(), state: host::State::Live }
 }
 
 /// Returns an entry with three members, for which the host of `target-0` has just disappeared from the
@@ -262,7 +262,7 @@
     let mut entry = open_entry();
     let record = |index: usize| Record {
         offset: index as u64 + 1,
-        payload: join(index, index as u128 + 1, epoch_clock()),
+        payload: join_record(index, index as u128 + 1, start_time()),
     };
     entry.handle(Event::Members(vec![record(1), record(2)]));
     entry.handle(Event::Hosts(vec![host(0), host(1), host(2)]));
@@ -293,7 +293,7 @@
     assert_eq!((find_lost(&too_early), find_lost(&again)), (None, None));
     assert_eq!(
         (leave.target.as_str(), leave.incarnation, leave.ended),
-        ("target-0", run(1), false)
+        ("target-0", incarnation_id(1), false)
     );
     assert_eq!(removed, [Effect::Remove(leave)]);
 }
--- a/components/scheduler/tests/claims.rs
+++ b/components/scheduler/tests/claims.rs
@@ -20,7 +20,7 @@
     entry::Record,
 };
 use support::{
-    cases, epoch_clock, join, leave, removal, run,
+    incarnation_id, join_record, leave_record, proptest_config, removal_record, start_time,
     world::{self, Stage},
 };
 use uuid::Uuid;
@@ -28,7 +28,7 @@
 const KEY: ClaimKey = 7;
 
 fn clock() -> Clock {
-    Clock { now: Instant::now(), wall: epoch_clock() }
+    Clock { now: Instant::now(), wall: start_time() }
 }
 
 /// Returns the readings of both clocks after a time.
@@ -54,8 +54,8 @@
 
 /// Returns the state of an agent that is the only member and stores at most `max_claims` claims.
 fn only_member(clock: Clock, max_claims: usize) -> State {
-    let mut state = claim::open(Settings { incarnation: run(1), claims: max_claims });
-    claim::reduce(&mut state, clock, records(&[join(0, 1, clock.wall)]));
+    let mut state = claim::open(Settings { incarnation: incarnation_id(1), claims: max_claims });
+    claim::reduce(&mut state, clock, records(&[join_record(0, 1, clock.wall)]));
     claim::reduce(&mut state, clock, Event::CaughtUp);
     state
 }
@@ -131,7 +131,7 @@
 fn an_agent_that_misses_a_membership_record_grants_nothing() {
     let now = clock();
     let mut state = only_member(now, 9);
-    let record = Record { offset: 3, payload: join(1, 2, now.wall) };
+    let record = Record { offset: 3, payload: join_record(1, 2, now.wall) };
     claim::reduce(&mut state, now, Event::Records(vec![record]));
     claim::reduce(&mut state, now, Event::CaughtUp);
 
@@ -177,7 +177,7 @@
 fn a_question_for_another_incarnation_is_not_answered_as_an_unknown_key() {
     let now = clock();
     let mut state = only_member(now, 9);
-    let question = Question { key: KEY, incarnation: run(9), epoch: 1, free: None };
+    let question = Question { key: KEY, incarnation: incarnation_id(9), epoch: 1, free: None };
 
     let effects = claim::reduce(&mut state, now, Event::Asked(question));
 
@@ -209,7 +209,7 @@
     let now = clock();
     let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
-    let joins = [join(0, 1, now.wall), join(1, 2, now.wall)];
+    let joins = [join_record(0, 1, now.wall), join_record(1, 2, now.wall)];
     claim::reduce(&mut state, now, records(&joins));
     claim::reduce(&mut state, now, Event::HandOver);
     claim::reduce(&mut state, now, Event::HandOverFailed);
@@ -226,16 +226,18 @@
 #[test]
 fn an_answer_to_a_question_of_an_older_epoch_decides_no_claim() {
     let now = clock();
-    let mut state = claim::open(Settings { incarnation: run(2), claims: 9 });
-    let mut log = vec![join(0, 1, now.wall), join(1, 2, now.wall)];
+    let mut state = claim::open(Settings { incarnation: incarnation_id(2), claims: 9 });
+    let mut log = vec![join_record(0, 1, now.wall), join_record(1, 2, now.wall)];
     claim::reduce(&mut state, now, records(&log));
     claim::reduce(&mut state, now, Event::CaughtUp);
-    let key = (0..).find(|key| state.members().home(*key).unwrap().id == run(2)).unwrap();
+    let key =
+        (0..).find(|key| state.members().home(*key).unwrap().id == incarnation_id(2)).unwrap();
     claim::reduce(&mut state, now, Event::Claim(Ask { key, ..ask(1, 2) }));
-    log.push(leave(0, 1, None, now.wall));
+    log.push(leave_record(0, 1, None, now.wall));
     claim::reduce(&mut state, now, records(&log));
 
-    let answered = Event::Answered { key, incarnation: run(1), answer: Some(Answer::Unknown) };
+    let answered =
+        Event::Answered { key, incarnation: incarnation_id(1), answer: Some(Answer::Unknown) };
     let effects = claim::reduce(&mut state, now, answered);
 
     let behind = Verdict::Behind { epoch: 3 };
@@ -249,8 +251,9 @@
 #[test]
 fn a_removed_agent_is_not_asked_about_keys_made_after_its_epoch_became_too_old() {
     let now = clock();
-    let mut state = claim::open(Settings { incarnation: run(2), claims: 9 });
-    let log = [join(0, 1, now.wall), join(1, 2, now.wall), removal(0, 1, now.wall)];
+    let mut state = claim::open(Settings { incarnation: incarnation_id(2), claims: 9 });
+    let log =
+        [join_record(0, 1, now.wall), join_record(1, 2, now.wall), removal_record(0, 1, now.wall)];
     claim::reduce(&mut state, now, records(&log));
     let ask_of_new_key = |clock: Clock| Ask { minted: Some(clock.wall), ..ask(1, 3) };
     let early = later(now, KEY_AHEAD_LIMIT * 9);
@@ -258,7 +261,7 @@
 
     claim::reduce(&mut state, early, Event::CaughtUp);
     let asked = claim::reduce(&mut state, early, Event::Claim(ask_of_new_key(early)));
-    let answered = Event::Answered { key: KEY, incarnation: run(1), answer: None };
+    let answered = Event::Answered { key: KEY, incarnation: incarnation_id(1), answer: None };
     let unsure = claim::reduce(&mut state, early, answered);
     claim::reduce(&mut state, late, Event::CaughtUp);
     let granted = verdict(&mut state, late, ask_of_new_key(late));
@@ -275,11 +278,12 @@
     let now = clock();
     let mut state = only_member(now, 9);
     verdict(&mut state, now, ask(1, 1));
-    let log = [join(0, 1, now.wall), removal(0, 1, now.wall), join(0, 2, now.wall)];
-    claim::reduce(&mut state, now, Event::Rejoin(run(2)));
+    let log =
+        [join_record(0, 1, now.wall), removal_record(0, 1, now.wall), join_record(0, 2, now.wall)];
+    claim::reduce(&mut state, now, Event::Rejoin(incarnation_id(2)));
     claim::reduce(&mut state, now, records(&log));
 
-    let question = Question { key: KEY, incarnation: run(1), epoch: 3, free: None };
+    let question = Question { key: KEY, incarnation: incarnation_id(1), epoch: 3, free: None };
     let answer = claim::reduce(&mut state, now, Event::Asked(question));
     let second = verdict(&mut state, now, ask(2, 3));
 
@@ -331,7 +335,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(300))]
+    #![proptest_config(proptest_config(300))]
 
     /// Joins and drains between the claims must not change which attempts are granted.
     #[test]
@@ -346,29 +350,29 @@
                 Step::Arrive(key) => {
                     let key = key.wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
                     world.arrive(key, 0, Duration::ZERO);
-                    world.settle_down();
+                    world.deliver_all();
 
                     let latest = world.attempts.last().unwrap();
                     let granted = naive.claim(latest.key, latest.id);
-                    prop_assert_eq!(latest.stage == Stage::Held, granted);
+                    prop_assert_eq!(latest.stage == Stage::ClaimGranted, granted);
                 }
                 Step::Run(number) | Step::Release(number) => {
                     let Some(index) = world.attempts.len().checked_sub(1 + number) else { continue };
-                    let is_held = world.attempts[index].stage == Stage::Held;
+                    let is_held = world.attempts[index].stage == Stage::ClaimGranted;
                     let key = world.attempts[index].key;
                     match step {
-                        Step::Run(_) => world.run(index),
+                        Step::Run(_) => world.run_attempt(index),
                         _ if is_held => {
-                            world.release(index);
+                            world.cancel_attempt(index);
                             naive.release(key);
                         }
                         _ => {}
                     }
                 }
-                Step::Join(agent) => world.start(agent),
+                Step::Join(agent) => world.start_agent(agent),
                 Step::Drain(agent) => world.drain(agent),
             }
-            world.settle_down();
+            world.deliver_all();
             world.catch_up_all();
         }
     }
--- a/components/scheduler/tests/config.rs
+++ b/components/scheduler/tests/config.rs
@@ -8,7 +8,7 @@
     id::Offset,
     resource::{Key, Kind, Tier},
 };
-use scheduler::config::{Error, Outcome, State, outcomes::WINDOW, snapshot};
+use scheduler::config::{Error, Outcome, State, outcomes::RETAINED_OFFSETS, snapshot};
 use uuid::Uuid;
 
 fn tier(name: &str, rank: u8) -> Resource {
@@ -108,11 +108,11 @@
     let mut state = State::default();
     state.apply(1, &put(1, tier("crew", 0), 0)).unwrap();
 
-    for offset in 2..=WINDOW {
+    for offset in 2..=RETAINED_OFFSETS {
         state.apply(offset, "no change").unwrap();
     }
     let outcome_within_window = state.outcome(&Uuid::from_u128(1)).cloned();
-    state.apply(WINDOW + 1, "no change").unwrap();
+    state.apply(RETAINED_OFFSETS + 1, "no change").unwrap();
 
     assert_eq!(outcome_within_window, Some(Outcome::Accepted(1)));
     assert_eq!(state.outcome(&Uuid::from_u128(1)), None);
--- a/components/scheduler/tests/dispatch.rs
+++ b/components/scheduler/tests/dispatch.rs
@@ -105,24 +105,24 @@
                 world.arrive(entry, rank, deadline);
             }
             Step::Deliver(index) if packets > 0 => world.deliver(index.index(packets)),
-            Step::Duplicate(index) if packets > 0 => world.double(index.index(packets)),
+            Step::Duplicate(index) if packets > 0 => world.deliver_copy(index.index(packets)),
             Step::Drop(index) if packets > 0 => world.lose(index.index(packets)),
             Step::Deliver(_) | Step::Duplicate(_) | Step::Drop(_) => {}
             Step::Advance(time) => world.advance(time),
-            Step::EndRun(index) if world.running() > 0 => {
-                world.end_run(index.index(world.running()))
+            Step::EndRun(index) if world.running_count() > 0 => {
+                world.finish_request(index.index(world.running_count()))
             }
             Step::Disconnect(index) if !world.ranks.is_empty() => {
                 let request = *world.ranks.keys().nth(index.index(world.ranks.len())).unwrap();
-                world.give_up(request);
+                world.disconnect_caller(request);
             }
             Step::EndRun(_) | Step::Disconnect(_) => {}
-            Step::ToggleEntryFreeze(entry) => world.freeze(entry),
-            Step::ToggleTargetConnections(target) => world.close(target),
+            Step::ToggleEntryFreeze(entry) => world.toggle_freeze(entry),
+            Step::ToggleTargetConnections(target) => world.toggle_closed(target),
             Step::RestartAgent(target) => world.restart_agent(target),
             Step::RestartEntry(entry) => world.restart_entry(entry),
             Step::DrainAgent(target) => world.drain_agent(target),
-            Step::ListAsLeaving { entry, target } => world.show_leaving(entry, &[target]),
+            Step::ListAsLeaving { entry, target } => world.send_host_list(entry, &[target]),
         }
         world
     }
@@ -165,7 +165,7 @@
     world.arrive(0, 0, Duration::from_secs(5));
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
 
-    world.double(find_packet(&world, |packet| matches!(packet, Packet::Granted { .. })));
+    world.deliver_copy(find_packet(&world, |packet| matches!(packet, Packet::Granted { .. })));
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
 
     let starts = world.network.iter().filter(|packet| matches!(packet, Packet::Start { .. }));
@@ -178,10 +178,10 @@
 fn a_duplicate_reservation_denied_after_the_run_leads_to_no_other_reservation() {
     let mut world = open_world();
     let request = world.arrive(0, 0, Duration::from_secs(5));
-    world.double(find_packet(&world, |packet| matches!(packet, Packet::Reserve { .. })));
+    world.deliver_copy(find_packet(&world, |packet| matches!(packet, Packet::Reserve { .. })));
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Granted { .. }));
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Start { .. }));
-    world.end_run(0);
+    world.finish_request(0);
 
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Reserve { .. }));
     deliver_first_matching(&mut world, |packet| matches!(packet, Packet::Denied { .. }));
--- a/components/scheduler/tests/limit.rs
+++ b/components/scheduler/tests/limit.rs
@@ -7,7 +7,7 @@
 use model::resource::Limit;
 use proptest::{prelude::prop, prop_assert, proptest};
 use scheduler::limit;
-use support::cases;
+use support::proptest_config;
 use test_case::test_case;
 
 fn limit(concurrency: u32, requests_per_second: u32) -> Limit {
@@ -57,7 +57,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(64))]
+    #![proptest_config(proptest_config(64))]
 
     #[test]
     fn no_period_admits_more_than_its_rate_and_one_burst(
--- a/components/scheduler/tests/membership.rs
+++ b/components/scheduler/tests/membership.rs
@@ -10,7 +10,10 @@
     config::Error,
     membership::{End, Outcome, State, WINDOW},
 };
-use support::{cases, epoch_clock, join, join_at_port, leave, run, target};
+use support::{
+    incarnation_id, join_record, join_record_at_port, leave_record, proptest_config, start_time,
+    target_name,
+};
 
 const TARGET_COUNT: usize = 5;
 const KEY_COUNT: u128 = 40;
@@ -49,13 +52,13 @@
 /// Returns the record of a step. A leave names the current incarnation of the target's agent, and
 /// incarnation 0 where there is none.
 fn payload(state: &State, offset: Offset, step: &Step) -> String {
-    let now = epoch_clock() + Duration::from_secs(offset);
+    let now = start_time() + Duration::from_secs(offset);
     match step {
-        Step::Join(index) => join(*index, u128::from(offset), now),
+        Step::Join(index) => join_record(*index, u128::from(offset), now),
         Step::Leave { index, handed_over } => {
-            let member = state.incarnation(&target(*index));
+            let member = state.incarnation(&target_name(*index));
             let number = member.map_or(0, |member| member.id.as_u128());
-            leave(*index, number, handed_over.then_some(state.epoch()), now)
+            leave_record(*index, number, handed_over.then_some(state.epoch()), now)
         }
         Step::Unreadable => "{}".to_owned(),
     }
@@ -89,7 +92,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(256))]
+    #![proptest_config(proptest_config(256))]
 
     /// An earlier home that is left out isn't asked for its claims, and a key could run twice.
     #[test]
@@ -117,11 +120,11 @@
 /// The log may be read twice or with a gap; the epoch must count every record exactly once.
 #[test]
 fn records_out_of_order_are_rejected_and_leave_the_epoch() {
-    let now = epoch_clock();
-    let mut state = fold(&[join(0, 1, now)]);
+    let now = start_time();
+    let mut state = fold(&[join_record(0, 1, now)]);
 
-    let stale = state.apply(1, &join(1, 2, now));
-    let gap = state.apply(3, &join(1, 2, now));
+    let stale = state.apply(1, &join_record(1, 2, now));
+    let gap = state.apply(3, &join_record(1, 2, now));
 
     assert_eq!(stale, Err(Error::Stale(1)));
     assert_eq!(gap, Err(Error::Gap { applied: 1, got: 3 }));
@@ -131,12 +134,12 @@
 /// The successor has the same address, so the earlier incarnation has surely ended.
 #[test]
 fn a_successor_has_a_higher_fencing_number_and_ends_the_earlier_incarnation() {
-    let now = epoch_clock();
+    let now = start_time();
 
-    let state = fold(&[join(0, 1, now), join(1, 2, now), join(0, 3, now)]);
+    let state = fold(&[join_record(0, 1, now), join_record(1, 2, now), join_record(0, 3, now)]);
 
-    let member = state.incarnation(&target(0)).unwrap();
-    assert_eq!((member.joined, member.id), (3, run(3)));
+    let member = state.incarnation(&target_name(0)).unwrap();
+    assert_eq!((member.joined, member.id), (3, incarnation_id(3)));
     let former: Vec<(Offset, End)> =
         state.former().map(|former| (former.left, former.end)).collect();
     assert_eq!(former, [(3, End::Ended)]);
@@ -145,9 +148,9 @@
 /// With another address, both processes of a target's agent can run at the same time.
 #[test]
 fn an_incarnation_replaced_from_another_address_counts_as_lost() {
-    let now = epoch_clock();
+    let now = start_time();
 
-    let state = fold(&[join(0, 1, now), join_at_port(0, 2, now, 9)]);
+    let state = fold(&[join_record(0, 1, now), join_record_at_port(0, 2, now, 9)]);
 
     assert_eq!(state.former().next().unwrap().end, End::Lost);
 }
@@ -156,44 +159,45 @@
 /// fencing number or end the incarnation.
 #[test]
 fn a_repeated_join_has_no_effect() {
-    let now = epoch_clock();
+    let now = start_time();
 
-    let state = fold(&[join(0, 1, now), join(0, 1, now)]);
+    let state = fold(&[join_record(0, 1, now), join_record(0, 1, now)]);
 
-    assert_eq!(state.incarnation(&target(0)).unwrap().joined, 1);
+    assert_eq!(state.incarnation(&target_name(0)).unwrap().joined, 1);
     assert_eq!(state.former().count(), 0);
 }
 
 /// A member that joined after the hand-over may be the next home of keys whose claims it never got.
 #[test]
 fn a_leave_whose_hand_over_is_of_an_old_epoch_has_no_effect() {
-    let now = epoch_clock();
-    let mut state = fold(&[join(0, 1, now), join(1, 2, now), join(2, 3, now)]);
+    let now = start_time();
+    let mut state = fold(&[join_record(0, 1, now), join_record(1, 2, now), join_record(2, 3, now)]);
 
-    let outcome = state.apply(4, &leave(0, 1, Some(2), now)).unwrap();
+    let outcome = state.apply(4, &leave_record(0, 1, Some(2), now)).unwrap();
 
     assert_eq!(outcome, Outcome::Ignored);
-    assert!(state.incarnation(&target(0)).is_some());
+    assert!(state.incarnation(&target_name(0)).is_some());
 }
 
 /// A delayed leave record of an earlier incarnation must not remove its successor.
 #[test]
 fn a_leave_of_an_earlier_incarnation_has_no_effect() {
-    let now = epoch_clock();
-    let mut state = fold(&[join(0, 1, now), join(0, 2, now)]);
+    let now = start_time();
+    let mut state = fold(&[join_record(0, 1, now), join_record(0, 2, now)]);
 
-    state.apply(3, &leave(0, 1, None, now)).unwrap();
+    state.apply(3, &leave_record(0, 1, None, now)).unwrap();
 
-    assert_eq!(state.incarnation(&target(0)).unwrap().id, run(2));
+    assert_eq!(state.incarnation(&target_name(0)).unwrap().id, incarnation_id(2));
 }
 
 /// Former homes must not accumulate, nor be asked for claims that have expired.
 #[test]
 fn a_former_home_is_removed_after_the_window() {
-    let now = epoch_clock();
+    let now = start_time();
     let later = |by: Duration| -> SystemTime { now + by };
-    let mut state = fold(&[join(0, 1, now), join(1, 2, now), leave(0, 1, None, now)]);
-    state.apply(4, &join(2, 3, later(WINDOW / 2))).unwrap();
+    let mut state =
+        fold(&[join_record(0, 1, now), join_record(1, 2, now), leave_record(0, 1, None, now)]);
+    state.apply(4, &join_record(2, 3, later(WINDOW / 2))).unwrap();
 
     state.prune(later(WINDOW / 2));
     let within = state.former().count();
--- a/components/scheduler/tests/placement.rs
+++ b/components/scheduler/tests/placement.rs
@@ -14,7 +14,7 @@
     prop_assert, prop_assert_eq, proptest,
 };
 use scheduler::placement;
-use support::cases;
+use support::proptest_config;
 
 fn target(index: usize, speed_percent: u32) -> Target {
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -49,7 +49,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(64))]
+    #![proptest_config(proptest_config(64))]
 
     /// A pool of fewer targets than a cell has one cell, whose order must be that without cells.
     #[test]
--- a/components/scheduler/tests/refusals.rs
+++ b/components/scheduler/tests/refusals.rs
@@ -54,7 +54,7 @@
         Change { schema: SCHEMA, id: Uuid::from_u128(9), expected: ACCOUNT_VERSION, action };
     let payload = serde_json::to_string(&change).unwrap();
     let record = Record { offset: LAST_OFFSET + 1, payload };
-    world.entry(0, Event::Records(vec![record]));
+    world.send_to_entry(0, Event::Records(vec![record]));
     world.arrive(0, 0, DEADLINE);
 }
 
@@ -104,7 +104,7 @@
     let request = world.arrive(0, 0, DEADLINE);
 
     for attempt in 1..=3 {
-        world.entry(0, Event::Unreachable { id: Id { request, attempt } });
+        world.send_to_entry(0, Event::Unreachable { id: Id { request, attempt } });
     }
 
     assert_eq!(world.refused.get(&request), Some(&Ran::NotRun));
@@ -130,11 +130,11 @@
 fn a_grant_that_arrives_after_the_deadline_starts_nothing() {
     let mut world = open_world(8);
     let request = world.arrive(0, 0, DEADLINE);
-    world.deliver_first();
+    world.deliver_first_ignoring_freeze();
     world.advance(DEADLINE);
 
     while !world.network.is_empty() {
-        world.deliver_first();
+        world.deliver_first_ignoring_freeze();
     }
 
     assert_eq!(world.refused.get(&request), Some(&Ran::NotRun));
--- a/components/scheduler/tests/support/world.rs
+++ b/components/scheduler/tests/support/world.rs
@@ -13,7 +13,7 @@
 };
 use uuid::Uuid;
 
-use super::{epoch_clock, join, leave, removal, run, target};
+use super::{incarnation_id, join_record, leave_record, removal_record, start_time, target_name};
 
 /// Most claims that an agent keeps.
 const CLAIM_LIMIT: usize = 1_000;
@@ -23,9 +23,9 @@
     pub state: State,
     pub incarnation: IncarnationId,
     /// Number of hand-over messages that were sent and neither acknowledged nor lost.
-    pub unanswered: usize,
+    pub pending_hand_overs: usize,
     /// Whether the agent's own leave was appended; it grants no claims while this is set.
-    pub left: bool,
+    pub has_left: bool,
 }
 
 /// A message in flight. `to` and `from` are indices of agents.
@@ -47,11 +47,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
     /// The claim isn't decided yet.
-    Claiming,
+    ClaimPending,
     /// The claim is granted; the attempt hasn't run.
-    Held,
+    ClaimGranted,
     /// The attempt ran, was released or was refused the claim.
-    Over,
+    Ended,
 }
 
 /// One attempt of a request with an idempotency key.
@@ -71,7 +71,7 @@
     /// Messages in flight, in the order in which they were sent.
     pub messages: Vec<Message>,
     /// The key of every attempt that ran, once per attempt.
-    pub ran: Vec<ClaimKey>,
+    pub ran_keys: Vec<ClaimKey>,
     /// The records of the membership log; the first has offset 1.
     log: Vec<String>,
     /// The members as of each epoch, indexed by epoch; epoch 0 has none.
@@ -92,15 +92,15 @@
         agents: (0..agents).map(|_| None).collect(),
         attempts: Vec::new(),
         messages: Vec::new(),
-        ran: Vec::new(),
+        ran_keys: Vec::new(),
         log: Vec::new(),
         members_by_epoch: vec![membership::State::default()],
-        clock: Clock { now: Instant::now(), wall: epoch_clock() },
+        clock: Clock { now: Instant::now(), wall: start_time() },
         minted: Vec::new(),
         has_timed_keys,
         next_incarnation: 1,
     };
-    (0..started).for_each(|index| world.start(index));
+    (0..started).for_each(|index| world.start_agent(index));
     (0..started).for_each(|index| world.catch_up(index, Offset::MAX));
     world
 }
@@ -131,14 +131,15 @@
 
     /// Starts an agent's process where it isn't running. Its join is appended twice, as by a retry after a
     /// lost answer.
-    pub fn start(&mut self, index: usize) {
+    pub fn start_agent(&mut self, index: usize) {
         if self.agents[index].is_some() {
             return;
         }
-        let incarnation = run(self.next_incarnation);
+        let incarnation = incarnation_id(self.next_incarnation);
         let state = claim::open(Settings { incarnation, claims: CLAIM_LIMIT });
-        self.agents[index] = Some(Agent { state, incarnation, unanswered: 0, left: false });
-        let record = join(index, self.next_incarnation, self.clock.wall);
+        self.agents[index] =
+            Some(Agent { state, incarnation, pending_hand_overs: 0, has_left: false });
+        let record = join_record(index, self.next_incarnation, self.clock.wall);
         self.append(record.clone());
         self.append(record);
         self.next_incarnation += 1;
@@ -151,10 +152,10 @@
     }
 
     /// Appends a leave of an agent by another process that considers it lost; the agent may be running.
-    pub fn remove(&mut self, index: usize) {
-        let member = self.members_by_epoch.last().unwrap().incarnation(&target(index));
+    pub fn append_removal(&mut self, index: usize) {
+        let member = self.members_by_epoch.last().unwrap().incarnation(&target_name(index));
         if let Some(number) = member.map(|member| member.id.as_u128()) {
-            self.append(removal(index, number, self.clock.wall));
+            self.append(removal_record(index, number, self.clock.wall));
         }
     }
 
@@ -162,11 +163,11 @@
     pub fn rejoin(&mut self, index: usize) {
         let Some(agent) = self.agents[index].as_mut() else { return };
         let is_member = agent.state.members().members().any(|m| m.id == agent.incarnation);
-        if is_member || agent.left {
+        if is_member || agent.has_left {
             return;
         }
-        agent.incarnation = run(self.next_incarnation);
-        let record = join(index, self.next_incarnation, self.clock.wall);
+        agent.incarnation = incarnation_id(self.next_incarnation);
+        let record = join_record(index, self.next_incarnation, self.clock.wall);
         self.next_incarnation += 1;
         let incarnation = self.agents[index].as_ref().unwrap().incarnation;
         self.handle(index, Event::Rejoin(incarnation));
@@ -192,16 +193,21 @@
             self.minted.push((key, self.clock.wall + skew - Duration::from_secs(20)));
         }
         let id = Uuid::from_u128(self.attempts.len() as u128 + 1);
-        self.attempts.push(Attempt { id, key, stage: Stage::Claiming, arrived: self.clock.now });
-        self.claim(self.attempts.len() - 1, lag);
+        self.attempts.push(Attempt {
+            id,
+            key,
+            stage: Stage::ClaimPending,
+            arrived: self.clock.now,
+        });
+        self.send_claim(self.attempts.len() - 1, lag);
     }
 
     /// Sends the claim of an attempt, or sends it again where it isn't decided. The entry is `lag` epochs
     /// behind.
-    pub fn claim(&mut self, index: usize, lag: usize) {
+    pub fn send_claim(&mut self, index: usize, lag: usize) {
         let attempt = &self.attempts[index];
         let members = &self.members_by_epoch[(self.members_by_epoch.len() - 1).saturating_sub(lag)];
-        let Some(home) = members.home(attempt.key).filter(|_| attempt.stage == Stage::Claiming)
+        let Some(home) = members.home(attempt.key).filter(|_| attempt.stage == Stage::ClaimPending)
         else {
             return;
         };
@@ -216,26 +222,26 @@
     }
 
     /// Lets the entry run an attempt, where the claim is granted and the deadline hasn't passed.
-    pub fn run(&mut self, index: usize) {
+    pub fn run_attempt(&mut self, index: usize) {
         let attempt = &mut self.attempts[index];
         let is_in_time = self.clock.now - attempt.arrived < DEADLINE_LIMIT;
-        if attempt.stage != Stage::Held || !is_in_time {
+        if attempt.stage != Stage::ClaimGranted || !is_in_time {
             return;
         }
-        attempt.stage = Stage::Over;
-        self.ran.push(attempt.key);
+        attempt.stage = Stage::Ended;
+        self.ran_keys.push(attempt.key);
         self.send_settle(index, true);
     }
 
     /// Lets the entry cancel an attempt before it runs. Returns whether the entry may answer `not_run`, which
     /// it may where the claim was granted.
-    pub fn release(&mut self, index: usize) -> bool {
+    pub fn cancel_attempt(&mut self, index: usize) -> bool {
         let attempt = &mut self.attempts[index];
-        let stage = std::mem::replace(&mut attempt.stage, Stage::Over);
-        if stage != Stage::Over {
+        let stage = std::mem::replace(&mut attempt.stage, Stage::Ended);
+        if stage != Stage::Ended {
             self.send_settle(index, false);
         }
-        stage == Stage::Held
+        stage == Stage::ClaimGranted
     }
 
     /// Sends the newest home of an attempt's key whether the attempt ran.
@@ -249,35 +255,36 @@
 
     /// Lets an agent hand its claims over, unless an earlier hand-over is in flight.
     pub fn hand_over(&mut self, index: usize) {
-        if self.agents[index].as_ref().is_some_and(|agent| agent.unanswered == 0) {
+        if self.agents[index].as_ref().is_some_and(|agent| agent.pending_hand_overs == 0) {
             self.handle(index, Event::HandOver);
         }
     }
 
     /// Lets an agent stop granting claims.
-    pub fn freeze(&mut self, index: usize) {
+    pub fn stop_granting(&mut self, index: usize) {
         self.handle(index, Event::Freeze);
     }
 
     /// Appends an agent's leave, where it has handed all its claims over and all of them have arrived.
     pub fn leave(&mut self, index: usize) {
         let Some(agent) = self.agents[index].as_mut() else { return };
-        let Some(epoch) = agent.state.handed_over().filter(|_| agent.unanswered == 0) else {
+        let Some(epoch) = agent.state.handed_over().filter(|_| agent.pending_hand_overs == 0)
+        else {
             return;
         };
-        agent.left = true;
-        let record = leave(index, agent.incarnation.as_u128(), Some(epoch), self.clock.wall);
+        agent.has_left = true;
+        let record = leave_record(index, agent.incarnation.as_u128(), Some(epoch), self.clock.wall);
         self.append(record);
     }
 
     /// Lets an agent grant claims again. After its own leave was appended this does nothing, unless the agent
     /// has read the whole log and is still a member: only then is it certain that the leave had no effect.
-    pub fn thaw(&mut self, index: usize) {
+    pub fn resume_granting(&mut self, index: usize) {
         let Some(agent) = self.agents[index].as_ref() else { return };
         let is_caught_up = agent.state.members().epoch() == self.epoch();
         let is_member = agent.state.members().members().any(|m| m.id == agent.incarnation);
-        if !agent.left || is_caught_up && is_member {
-            self.agents[index].as_mut().unwrap().left = false;
+        if !agent.has_left || is_caught_up && is_member {
+            self.agents[index].as_mut().unwrap().has_left = false;
             self.handle(index, Event::Thaw);
         }
     }
@@ -286,10 +293,10 @@
     pub fn drain(&mut self, index: usize) {
         self.catch_up(index, Offset::MAX);
         self.hand_over(index);
-        self.settle_down();
-        self.freeze(index);
+        self.deliver_all();
+        self.stop_granting(index);
         self.hand_over(index);
-        self.settle_down();
+        self.deliver_all();
         self.leave(index);
         self.kill(index);
     }
@@ -338,7 +345,7 @@
     }
 
     /// Delivers messages, oldest first, until none is in flight.
-    pub fn settle_down(&mut self) {
+    pub fn deliver_all(&mut self) {
         while !self.messages.is_empty() {
             self.deliver(0);
         }
@@ -346,7 +353,7 @@
 
     /// Returns whether an attempt of the key is past its deadline; such an attempt doesn't run even with a
     /// granted claim.
-    pub fn is_late(&self, key: ClaimKey) -> bool {
+    pub fn has_attempt_past_deadline(&self, key: ClaimKey) -> bool {
         let is_past_deadline =
             |attempt: &Attempt| self.clock.now - attempt.arrived >= DEADLINE_LIMIT;
         self.attempts.iter().any(|attempt| attempt.key == key && is_past_deadline(attempt))
@@ -374,7 +381,7 @@
     fn acknowledge(&mut self, from: usize, sender: IncarnationId, arrived: bool) {
         let is_sender = |agent: &&mut Agent| agent.incarnation == sender;
         if let Some(agent) = self.agents[from].as_mut().filter(is_sender) {
-            agent.unanswered -= 1;
+            agent.pending_hand_overs -= 1;
             if !arrived {
                 self.handle(from, Event::HandOverFailed);
             }
@@ -385,13 +392,15 @@
     /// before.
     fn deliver_verdict(&mut self, id: RequestId, verdict: Verdict) {
         let attempt = self.attempts.iter_mut().find(|attempt| attempt.id == id).unwrap();
-        if attempt.stage != Stage::Claiming {
+        if attempt.stage != Stage::ClaimPending {
             return;
         }
         attempt.stage = match verdict {
-            Verdict::Granted => Stage::Held,
-            Verdict::Behind { .. } | Verdict::Moved { .. } | Verdict::Leaving => Stage::Claiming,
-            _ => Stage::Over,
+            Verdict::Granted => Stage::ClaimGranted,
+            Verdict::Behind { .. } | Verdict::Moved { .. } | Verdict::Leaving => {
+                Stage::ClaimPending
+            }
+            _ => Stage::Ended,
         };
     }
 
@@ -409,7 +418,7 @@
                     self.messages.push(Message::Question { to, from: index, question });
                 }
                 Effect::HandOver { address, claims } => {
-                    agent.unanswered += 1;
+                    agent.pending_hand_overs += 1;
                     let (to, sender) = (agent_index(address), agent.incarnation);
                     let message = Message::HandOver { to, from: index, sender, claims };
                     self.messages.push(message);
--- a/components/scheduler/tests/suspects.rs
+++ b/components/scheduler/tests/suspects.rs
@@ -14,7 +14,7 @@
 use scheduler::{
     agent::{self, Effect, Event, Room},
     entry,
-    suspect::{self, Standing},
+    suspect::{self, BodyStatus},
 };
 use test_case::test_case;
 use uuid::Uuid;
@@ -59,13 +59,13 @@
 }
 
 #[test_case(&[] => None; "none without records")]
-#[test_case(&[crash(&[1, 2], false)] => Some(Standing::Suspected); "suspected when it ran with another")]
-#[test_case(&[crash(&[1, 2], false), crash(&[1, 3], false)] => Some(Standing::Suspected); "still suspected after two crashes with others")]
-#[test_case(&[crash(&[1, 2], false), crash(&[1], true)] => Some(Standing::Quarantined); "quarantined after a second crash alone")]
+#[test_case(&[crash(&[1, 2], false)] => Some(BodyStatus::Suspected); "suspected when it ran with another")]
+#[test_case(&[crash(&[1, 2], false), crash(&[1, 3], false)] => Some(BodyStatus::Suspected); "still suspected after two crashes with others")]
+#[test_case(&[crash(&[1, 2], false), crash(&[1], true)] => Some(BodyStatus::Quarantined); "quarantined after a second crash alone")]
 #[test_case(&[crash(&[1, 2], false), clear(1)] => None; "cleared after it ran alone to its end")]
-#[test_case(&[crash(&[1, 2], false), crash(&[2], true)] => Some(Standing::Suspected); "still suspected when the other one is quarantined")]
-#[test_case(&[crash(&[1], false), crash(&[1], true), clear(1)] => Some(Standing::Quarantined); "still quarantined when cleared too late")]
-fn the_records_of_a_body_determine_its_standing(records: &[String]) -> Option<Standing> {
+#[test_case(&[crash(&[1, 2], false), crash(&[2], true)] => Some(BodyStatus::Suspected); "still suspected when the other one is quarantined")]
+#[test_case(&[crash(&[1], false), crash(&[1], true), clear(1)] => Some(BodyStatus::Quarantined); "still quarantined when cleared too late")]
+fn the_records_of_a_body_determine_its_standing(records: &[String]) -> Option<BodyStatus> {
     let mut state = suspect::State::default();
 
     for (offset, payload) in (1..).zip(records) {
@@ -74,7 +74,7 @@
         state.apply(offset, payload);
     }
 
-    state.standing(fingerprint(1))
+    state.status(fingerprint(1))
 }
 
 /// A crash breaks the connections of all running requests one after another, and after each the agent
@@ -146,14 +146,14 @@
         entry::Event::Crashes(vec![entry::Record { offset, payload }])
     };
 
-    world.entry(0, crash_record(false, 1));
+    world.send_to_entry(0, crash_record(false, 1));
     world.advance(Duration::from_secs(1));
     let suspect_flags = world.network.iter().filter_map(|packet| match packet {
         Packet::Reserve { ask, .. } => Some(ask.body.alone),
         _ => None,
     });
     let suspect_flags: Vec<bool> = suspect_flags.collect();
-    world.entry(0, crash_record(true, 2));
+    world.send_to_entry(0, crash_record(true, 2));
 
     assert_eq!(
         suspect_flags,
--- a/components/scheduler/tests/tiers.rs
+++ b/components/scheduler/tests/tiers.rs
@@ -229,12 +229,12 @@
                     world.arrive(index.index(ENTRIES), rank, Duration::from_secs(5));
                 }
                 4..=9 if packets > 0 => world.deliver(index.index(packets)),
-                10 if world.running() > 0 => world.end_run(index.index(world.running())),
+                10 if world.running_count() > 0 => world.finish_request(index.index(world.running_count())),
                 11 if millis < 4 => world.drain_agent(index.index(TARGETS)),
                 _ => world.advance(Duration::from_millis(millis)),
             }
             for shed in world.sheds.drain(..) {
-                prop_assert!(shed.lowest_here.is_none_or(|lowest| lowest <= shed.rank), "{:?}", shed);
+                prop_assert!(shed.lowest_waiting_at_entry.is_none_or(|lowest| lowest <= shed.rank), "{:?}", shed);
             }
         }
     }
@@ -249,7 +249,7 @@
     let deny = |world: &mut world::World, attempt| {
         let load = Load::default();
         let denial = Denial { reason: Reason::Overloaded, retry_after: DENIAL_TTL, load };
-        world.entry(0, entry::Event::Denied { id: Id { request, attempt }, denial });
+        world.send_to_entry(0, entry::Event::Denied { id: Id { request, attempt }, denial });
     };
     deny(&mut world, 1);
     world.advance(DENIAL_TTL);
--- a/components/scheduler/tests/world/mod.rs
+++ b/components/scheduler/tests/world/mod.rs
@@ -53,22 +53,22 @@
     /// An agent denies a reservation.
     Denied { id: Id, denial: Denial },
     /// The connection of a reservation broke before the agent granted or denied it.
-    Broken { id: Id },
+    ReservationConnectionLost { id: Id },
     /// A start ended.
-    Answered { id: Id, answer: Answer },
+    Answered { id: Id, answer: StartOutcome },
     /// The connection of a start broke before its answer.
-    Silent { id: Id },
+    StartConnectionLost { id: Id },
     /// An agent answers a `Settle`.
-    Told { id: Id, fate: Fate },
+    Settled { id: Id, fate: Fate },
     /// The connection of a `Settle` broke before its answer.
-    Unsettled { id: Id },
+    SettleConnectionLost { id: Id },
 }
 
 /// How a start ended, as its entry learns it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum StartOutcome {
     /// The target answered in full.
-    Whole,
+    Completed,
     /// The target refused the connection, so the request didn't run.
     NotRun,
     /// The agent denied the start because of the reservation's state.
@@ -80,10 +80,10 @@
 pub struct Shed {
     pub rank: Rank,
     /// Rank of the lowest tier that still waited at the same entry; `None` where nothing waited.
-    pub lowest_here: Option<Rank>,
+    pub lowest_waiting_at_entry: Option<Rank>,
     /// Longest time since the request was denied by a target at which a lower tier waits now; `None` where no
     /// such target denied the request.
-    pub window: Option<Duration>,
+    pub longest_since_denial: Option<Duration>,
 }
 
 /// The simulated processes and network, and the observations that tests check.
@@ -162,7 +162,7 @@
         self.last_request += 1;
         let id = Uuid::from_u64_pair(entry as u64, self.last_request);
         self.ranks.insert(id, rank);
-        self.entry(entry, Event::Arrived(request(id, rank, deadline)));
+        self.send_to_entry(entry, Event::Arrived(request(id, rank, deadline)));
         id
     }
 
@@ -175,13 +175,13 @@
     }
 
     /// Delivers the first message in flight, also to a frozen entry.
-    pub fn deliver_first(&mut self) {
+    pub fn deliver_first_ignoring_freeze(&mut self) {
         let packet = self.network.remove(0);
         self.receive(packet);
     }
 
     /// Delivers a copy of a message, which stays in flight; does nothing where it goes to a frozen entry.
-    pub fn double(&mut self, index: usize) {
+    pub fn deliver_copy(&mut self, index: usize) {
         let packet = self.network[index].clone();
         if !self.is_to_frozen_entry(&packet) {
             self.receive(packet);
@@ -202,49 +202,49 @@
         }
         for entry in 0..ENTRIES {
             if !self.frozen.contains(&entry) {
-                self.entry(entry, Event::Tick);
+                self.send_to_entry(entry, Event::Tick);
             }
         }
     }
 
     /// Freezes an entry, or ends its freeze.
-    pub fn freeze(&mut self, entry: usize) {
+    pub fn toggle_freeze(&mut self, entry: usize) {
         if !self.frozen.remove(&entry) {
             self.frozen.insert(entry);
         }
     }
 
     /// Lets a target refuse connections, or accept them again.
-    pub fn close(&mut self, target: usize) {
+    pub fn toggle_closed(&mut self, target: usize) {
         if !self.closed.remove(&target) {
             self.closed.insert(target);
         }
     }
 
     /// Lets the target finish the running request with this index; does nothing where there is none.
-    pub fn end_run(&mut self, index: usize) {
+    pub fn finish_request(&mut self, index: usize) {
         let Some((id, target)) = self.running.iter().nth(index).map(|(id, t)| (*id, *t)) else {
             return;
         };
         self.running.remove(&id);
         self.send_to_agent(target, agent::Event::Ended(id));
-        self.network.push(Packet::Answered { id, answer: Answer::Whole });
+        self.network.push(Packet::Answered { id, answer: StartOutcome::Completed });
     }
 
     /// Returns the number of requests that run.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Closes the caller's connection of a request: the entry no longer waits for it. Does nothing where the
     /// entry is frozen.
-    pub fn give_up(&mut self, request: RequestId) {
+    pub fn disconnect_caller(&mut self, request: RequestId) {
         let entry = entry_of(request);
         if self.frozen.contains(&entry) {
             return;
         }
         self.starts.retain(|id, _| id.request != request);
-        self.entry(entry, Event::Ended { request });
+        self.send_to_entry(entry, Event::Ended { request });
     }
 
     /// Restarts an agent with an empty state. The requests that ran on its target end, messages to it are
@@ -256,9 +256,11 @@
         self.network = kept;
         self.network.extend(lost.into_iter().filter_map(after_loss));
         let unreplied_calls = self.calls.iter().filter(|(_, at)| **at == target);
-        self.network.extend(unreplied_calls.map(|(id, _)| Packet::Broken { id: *id }));
+        self.network
+            .extend(unreplied_calls.map(|(id, _)| Packet::ReservationConnectionLost { id: *id }));
         let unanswered_starts = self.starts.iter().filter(|(_, at)| **at == target);
-        self.network.extend(unanswered_starts.map(|(id, _)| Packet::Silent { id: *id }));
+        self.network
+            .extend(unanswered_starts.map(|(id, _)| Packet::StartConnectionLost { id: *id }));
     }
 
     /// Restarts an entry with the configuration applied; it no longer waits for any reply, and messages to it
@@ -279,7 +281,7 @@
 
     /// Sends an entry the platform's host list, in which these targets are leaving; does nothing where the
     /// entry is frozen.
-    pub fn show_leaving(&mut self, entry: usize, leaving: &[usize]) {
+    pub fn send_host_list(&mut self, entry: usize, leaving: &[usize]) {
         let row = |target: &usize| Host {
             name: target_name(*target),
             zone: "a".to_owned(),
@@ -289,11 +291,11 @@
             return;
         }
         self.leaving.insert(entry, leaving.to_vec());
-        self.entry(entry, Event::Hosts(leaving.iter().map(row).collect()));
+        self.send_to_entry(entry, Event::Hosts(leaving.iter().map(row).collect()));
     }
 
     /// Lets an entry handle an event and executes the effects.
-    pub fn entry(&mut self, entry: usize, event: Event) {
+    pub fn send_to_entry(&mut self, entry: usize, event: Event) {
         for effect in entry::reduce(&mut self.entries[entry], self.now, event) {
             self.execute(effect);
         }
@@ -339,9 +341,9 @@
                 self.agents[*target].lowest_waiting().is_some_and(|lowest| lowest > rank);
             is_lower_waiting.then(|| self.now.duration_since(*at))
         };
-        let window = denials.iter().filter_map(since_denial).max();
+        let longest_since_denial = denials.iter().filter_map(since_denial).max();
         let lowest_here = self.entries[entry_of(request)].lowest_waiting();
-        self.sheds.push(Shed { rank, lowest_here, window });
+        self.sheds.push(Shed { rank, lowest_waiting_at_entry: lowest_here, longest_since_denial });
     }
 
     /// Lets an agent handle an event and sends the messages that result.
@@ -358,10 +360,10 @@
                 }
                 agent::Effect::Dispatch(id) => self.dispatch(target, id),
                 agent::Effect::DenyStart { id, fate } => {
-                    self.network.push(Packet::Answered { id, answer: Answer::Denied(fate) });
+                    self.network.push(Packet::Answered { id, answer: StartOutcome::Denied(fate) });
                 }
                 agent::Effect::Tell { id, fate } if is_settle => {
-                    self.network.push(Packet::Told { id, fate });
+                    self.network.push(Packet::Settled { id, fate });
                 }
                 _ => {}
             }
@@ -372,7 +374,7 @@
     fn dispatch(&mut self, target: usize, id: Id) {
         if self.closed.contains(&target) {
             self.send_to_agent(target, agent::Event::Ended(id));
-            return self.network.push(Packet::Answered { id, answer: Answer::NotRun });
+            return self.network.push(Packet::Answered { id, answer: StartOutcome::NotRun });
         }
         *self.ran.entry(id.request).or_default() += 1;
         self.running.insert(id, target);
@@ -389,16 +391,18 @@
             Packet::Settle { target, id } => self.send_to_agent(target, agent::Event::Settle(id)),
             Packet::Granted { id, grant } => self.deliver_reply(id, Event::Granted { id, grant }),
             Packet::Denied { id, denial } => self.deliver_reply(id, Event::Denied { id, denial }),
-            Packet::Broken { id } if self.calls.contains_key(&id) => {
+            Packet::ReservationConnectionLost { id } if self.calls.contains_key(&id) => {
                 self.deliver_reply(id, Event::Unreachable { id });
             }
-            Packet::Broken { .. } => {}
-            Packet::Silent { id } => {
+            Packet::ReservationConnectionLost { .. } => {}
+            Packet::StartConnectionLost { id } => {
                 if let Some(target) = self.starts.get(&id).copied() {
                     self.network.push(Packet::Settle { target, id });
                 }
             }
-            Packet::Answered { .. } | Packet::Told { .. } | Packet::Unsettled { .. } => {
+            Packet::Answered { .. }
+            | Packet::Settled { .. }
+            | Packet::SettleConnectionLost { .. } => {
                 self.end_start(packet);
             }
         }
@@ -407,7 +411,7 @@
     /// Lets the entry of a reservation handle the agent's reply to it.
     fn deliver_reply(&mut self, id: Id, event: Event) {
         self.calls.remove(&id);
-        self.entry(entry_of(id.request), event);
+        self.send_to_entry(entry_of(id.request), event);
     }
 
     /// Handles the one reply to a start that its entry waits for. A reply that proves that the request didn't
@@ -415,12 +419,11 @@
     fn end_start(&mut self, packet: Packet) {
         // Whether the reply proves that the request didn't run; `None` where it ran to its end.
         let (id, proves_not_run) = match packet {
-            Packet::Answered { id, answer: Answer::Whole } => (id, None),
-            Packet::Answered { id, answer: Answer::NotRun } => (id, Some(true)),
-            Packet::Answered { id, answer: Answer::Denied(fate) } | Packet::Told { id, fate } => {
-                (id, Some(fate.never_starts()))
-            }
-            Packet::Unsettled { id } => (id, Some(false)),
+            Packet::Answered { id, answer: StartOutcome::Completed } => (id, None),
+            Packet::Answered { id, answer: StartOutcome::NotRun } => (id, Some(true)),
+            Packet::Answered { id, answer: StartOutcome::Denied(fate) }
+            | Packet::Settled { id, fate } => (id, Some(fate.never_starts())),
+            Packet::SettleConnectionLost { id } => (id, Some(false)),
             _ => return,
         };
         if self.starts.remove(&id).is_none() {
@@ -428,7 +431,9 @@
         }
         let entry = entry_of(id.request);
         match proves_not_run {
-            Some(true) => return self.entry(entry, Event::NotStarted { id, unreachable: false }),
+            Some(true) => {
+                return self.send_to_entry(entry, Event::NotStarted { id, unreachable: false });
+            }
             Some(false) => {
                 self.refused.insert(id.request, Ran::MayHaveRun);
             }
@@ -436,7 +441,7 @@
                 self.answered.insert(id.request);
             }
         }
-        self.entry(entry, Event::Ended { request: id.request });
+        self.send_to_entry(entry, Event::Ended { request: id.request });
     }
 
     /// Returns whether a message goes to a frozen entry.
@@ -449,10 +454,16 @@
 /// entry that waits for a reply. `None` where no reply is awaited. Such information itself isn't lost.
 fn after_loss(packet: Packet) -> Option<Packet> {
     match packet {
-        Packet::Reserve { ask, .. } => Some(Packet::Broken { id: ask.id }),
-        Packet::Granted { id, .. } | Packet::Denied { id, .. } => Some(Packet::Broken { id }),
-        Packet::Start { id, .. } | Packet::Answered { id, .. } => Some(Packet::Silent { id }),
-        Packet::Settle { id, .. } | Packet::Told { id, .. } => Some(Packet::Unsettled { id }),
+        Packet::Reserve { ask, .. } => Some(Packet::ReservationConnectionLost { id: ask.id }),
+        Packet::Granted { id, .. } | Packet::Denied { id, .. } => {
+            Some(Packet::ReservationConnectionLost { id })
+        }
+        Packet::Start { id, .. } | Packet::Answered { id, .. } => {
+            Some(Packet::StartConnectionLost { id })
+        }
+        Packet::Settle { id, .. } | Packet::Settled { id, .. } => {
+            Some(Packet::SettleConnectionLost { id })
+        }
         Packet::Cancel { .. } => None,
         connection_loss => Some(connection_loss),
     }
@@ -474,11 +485,11 @@
     match packet {
         Packet::Granted { id, .. }
         | Packet::Denied { id, .. }
-        | Packet::Broken { id }
+        | Packet::ReservationConnectionLost { id }
         | Packet::Answered { id, .. }
-        | Packet::Silent { id }
-        | Packet::Told { id, .. }
-        | Packet::Unsettled { id } => Some(entry_of(id.request)),
+        | Packet::StartConnectionLost { id }
+        | Packet::Settled { id, .. }
+        | Packet::SettleConnectionLost { id } => Some(entry_of(id.request)),
         _ => None,
     }
 }
