--- a/components/agent/src/traffic.rs
+++ b/components/agent/src/traffic.rs
@@ -134,7 +134,7 @@
     match relayed {
         Err(ReaderGone) => info!(%request, "cancelled: the entry closed its connection"),
         Ok(Some(Incomplete)) => {
-            context.metrics.torn.inc();
+            context.metrics.torn_answers.inc();
             warn!(%request, "the target's answer is incomplete");
         }
         Ok(None) => run.finish(Finish { ran: Ran::Yes, digest: Some(writer.digest()) }),
--- a/components/api/src/history.rs
+++ b/components/api/src/history.rs
@@ -6,7 +6,7 @@
 };
 
 use model::{change::Action, id::Offset, resource::Kind};
-use scheduler::config::{Outcome, Step};
+use scheduler::config::{AppliedRecord, Outcome};
 
 use crate::view::Event;
 
@@ -37,7 +37,7 @@
 impl History {
     /// Adds the change of the next applied record of the log; a change that wasn't accepted is
     /// ignored.
-    pub fn push(&self, step: Step) {
+    pub fn push(&self, step: AppliedRecord) {
         let Some(action) = step.action else {
             return;
         };
--- a/components/entry/src/stream.rs
+++ b/components/entry/src/stream.rs
@@ -34,17 +34,17 @@
 impl AnswerRecorder {
     /// Records the latency of the answer's first piece.
     fn record_first_byte(&self) {
-        self.metrics.first_byte(&self.owner.tier, self.arrived.elapsed());
+        self.metrics.record_first_byte(&self.owner.tier, self.arrived.elapsed());
     }
 
     fn record_complete(&self) {
         let took = self.arrived.elapsed();
-        self.metrics.whole(&self.owner.tier, &self.owner.account, took);
+        self.metrics.record_answer(&self.owner.tier, &self.owner.account, took);
         info!(request = %self.id, millis = took.as_millis(), "answer complete");
     }
 
     fn record_torn(&self, refusal: &Refusal) {
-        self.metrics.torn(&self.owner.tier);
+        self.metrics.count_torn_answer(&self.owner.tier);
         warn!(
             request = %self.id,
             reason = ?refusal.reason,
--- a/components/evidence/src/recorder/entry.rs
+++ b/components/evidence/src/recorder/entry.rs
@@ -122,8 +122,10 @@
                     facts.push(refused_fact(state, open, owner, refusal));
                 }
             }
-            Effect::Applied(config::Step {
-                outcome: config::Outcome::Accepted(_), action, ..
+            Effect::Applied(config::AppliedRecord {
+                outcome: config::Outcome::Accepted(_),
+                action,
+                ..
             }) => {
                 self.record_change(action.as_ref(), facts);
             }
