--- a/components/evidence/src/audit/mod.rs
+++ b/components/evidence/src/audit/mod.rs
@@ -94,7 +94,7 @@
     pub checked: usize,
     /// Contradictions to the rule; empty unless the verdict is `Violated`.
     pub violations: Vec<Violation>,
-    /// Flaws of the evidence for which the rule can't be proved.
+    /// Flaws of the evidence because of which the rule can't be proved.
     pub gaps: Vec<Flaw>,
 }
 
--- a/components/evidence/src/audit/requests.rs
+++ b/components/evidence/src/audit/requests.rs
@@ -60,8 +60,8 @@
 }
 
 /// Checks that no target ran a request that was refused as `not run`. If the request has an
-/// idempotency key, no other request with this key may have run before the refusal either, within
-/// the margin of the clocks.
+/// idempotency key, no other request with this key may have run either, if its run started before
+/// the refusal by more than the margin of the clocks.
 pub fn not_run(corpus: &Corpus<'_>, span: Span) -> RuleResult {
     let mut result = RuleResult::default();
     for ended in in_span(corpus, span) {
--- a/components/evidence/src/batch.rs
+++ b/components/evidence/src/batch.rs
@@ -63,7 +63,8 @@
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub since: SystemTime,
     /// End of the period: when this batch was sealed. The batch contains all records from `since`
-    /// to `sealed`, except for the lost ones.
+    /// to `sealed`, except for the lost ones. A period with too many records for one batch has
+    /// several batches, which have the same `since` and `sealed`.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub sealed: SystemTime,
     /// Number of records that were dropped before this batch because the buffer was full.
--- a/components/settings/src/agent.rs
+++ b/components/settings/src/agent.rs
@@ -80,9 +80,10 @@
 pub struct Engine {
     /// HTTP address of the engine or service.
     pub address: SocketAddr,
-    /// Whether it is an engine that serves models or a plain service.
+    /// Whether the address is that of an engine that serves models or of a plain service.
     pub backing: Backing,
-    /// Whether it rejects an order with an outdated fencing number; `false` by default.
+    /// Whether the engine or service rejects an order with an outdated fencing number; `false` by
+    /// default.
     #[serde(default)]
     pub checks_fence: bool,
 }
--- a/components/settings/src/shared.rs
+++ b/components/settings/src/shared.rs
@@ -36,7 +36,7 @@
     pub key_hash: KeyHash,
 }
 
-/// Checks that a text is a base URL: a scheme, a host and no slash at the end.
+/// Checks that a text is an `http` or `https` URL with no slash at the end.
 fn base_url(url: &str, (): &()) -> garde::Result {
     let rest = url.strip_prefix("http://").or_else(|| url.strip_prefix("https://"));
     match rest {
