--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -8,7 +8,7 @@
 
 use model::reservation::{Ask, Denial, Fate, Grant, Id, Limit, Load};
 use scheduler::{
-    agent::{self, Effect, Event, Policy, Room, State},
+    agent::{self, Capacity, Effect, Event, Policy, State},
     rate,
 };
 use tokio::sync::oneshot;
@@ -46,11 +46,19 @@
 /// Gives one where nobody waits, for a target as an entry process knows it.
 pub fn open(target: Target) -> Queue {
     let slots = target.slots as usize;
-    let room = Room { slots, tokens: u64::MAX, waiting: WAITING, grant: GRANT };
+    let room =
+        Capacity { slots, max_tokens: u64::MAX, max_waiting: WAITING, grant_lifetime: GRANT };
     info!(address = %target.address, slots, beside = target.beside, "the target is known");
     Queue {
         // Entry processes refuse what comes too late, by what they know of all targets.
-        state: agent::open_with(room, Policy { floor: FLOOR, newest: true, ..Policy::first() }),
+        state: agent::open_with(
+            room,
+            Policy {
+                min_tier_share: FLOOR,
+                is_latest_deadline_first: true,
+                ..Policy::without_rules()
+            },
+        ),
         granting: HashMap::new(),
         target,
         unreserved: 0,
@@ -78,9 +86,9 @@
 
     /// Learns what an entry process heard of the target's rate limit.
     pub fn limit(&mut self, limit: Limit) {
-        let before = self.state.limit();
-        self.reduce(Event::Limited(limit));
-        let interval = self.state.limit();
+        let before = self.state.rate_limit_interval();
+        self.reduce(Event::RateLimitReported(limit));
+        let interval = self.state.rate_limit_interval();
         if before != interval {
             let (address, per_second) = (self.target.address, interval.map(rate::rate_at_interval));
             info!(%address, per_second, age_ms = limit.age.as_millis() as u64, "the rate limit changed");
@@ -93,7 +101,7 @@
         if self.target != target {
             self.target = target;
             info!(address = %target.address, slots = target.slots, "the target's size changed");
-            self.reduce(Event::Sized(target.slots as usize));
+            self.reduce(Event::SlotsChanged(target.slots as usize));
         }
         self.granting.insert(ask.id, reply);
         self.reduce(Event::Reserve(ask));
@@ -123,14 +131,14 @@
         if std::mem::replace(&mut self.reached, reached) != reached {
             let address = self.target.address;
             info!(%address, reached, "the target takes requests, or none");
-            self.reduce(Event::Reached(reached));
+            self.reduce(Event::ReachabilityChanged(reached));
         }
         let running = self.state.load().running as usize;
         let unreserved = seen.unwrap_or_default().saturating_sub(running);
         // What has just been given up here may still be there: it counts once it stays.
         let lasting = unreserved.min(self.unreserved);
         self.unreserved = unreserved;
-        self.reduce(Event::Unreserved(lasting));
+        self.reduce(Event::UnreservedRequestsChanged(lasting));
     }
 
     /// Takes an event in; whoever waits is told what follows.
--- a/components/agent/src/config.rs
+++ b/components/agent/src/config.rs
@@ -156,8 +156,8 @@
         let desired = fold.target(&target).and_then(|target| target.setup.clone());
         drop(fold);
         info!(applied, "configuration applied");
-        control.event(Event::Heard(applied));
-        control.orders(order::Event::Desired(desired));
+        control.event(Event::OffsetReceived(applied));
+        control.orders(order::Event::DesiredSetupChanged(desired));
         shared.applied.send_replace(applied);
     })
 }
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -18,7 +18,7 @@
     suspect::Crash,
 };
 use scheduler::{
-    agent::{self, Effect, Event, Room, State},
+    agent::{self, Capacity, Effect, Event, State},
     order,
 };
 use tokio::{
@@ -128,11 +128,11 @@
         Arc::clone(&metrics),
     );
     let orders = orders::open(settings.engine, handle.clone());
-    let room = Room {
+    let room = Capacity {
         slots: settings.room.slots,
-        tokens: settings.room.tokens,
-        waiting: settings.room.waiting,
-        grant: settings.room.grant,
+        max_tokens: settings.room.tokens,
+        max_waiting: settings.room.waiting,
+        grant_lifetime: settings.room.grant,
     };
     let thread = Thread {
         state: agent::open(room),
@@ -263,7 +263,7 @@
     fn drop(&mut self) {
         if self.dispatched {
             if self.finish.digest.is_some() {
-                self.control.event(Event::Served(self.id));
+                self.control.event(Event::AnswerCompleted(self.id));
             }
             self.control.send(Message::Ended { id: self.id, finish: self.finish });
         }
@@ -302,7 +302,7 @@
             Message::Orders(event) => return self.orders.take(event),
             Message::Confirmed { asked } => {
                 let fence = self.members.borrow().joined;
-                return self.orders.take(order::Event::Confirmed { asked, fence });
+                return self.orders.take(order::Event::Confirmed { read_started_at: asked, fence });
             }
             other => other,
         };
@@ -339,13 +339,13 @@
                 self.granting.remove(&id);
                 (Event::Cancel(id), reply.map_or(Reply::Nobody, Reply::Fate))
             }
-            Message::Settle { id, reply } => (Event::Settle(id), Reply::Fate(reply)),
+            Message::Settle { id, reply } => (Event::Resolve(id), Reply::Fate(reply)),
             Message::Event(event) => (event, Reply::Nobody),
             Message::Ended { id, finish } => {
                 self.recorder.finished(id, finish);
                 (Event::Ended(id), Reply::Nobody)
             }
-            Message::Died(reply) => (Event::Died, Reply::Crash(reply)),
+            Message::Died(reply) => (Event::TargetCrashed, Reply::Crash(reply)),
             Message::Claims(_)
             | Message::Close(_)
             | Message::Confirmed { .. }
@@ -375,16 +375,16 @@
                 let _ = reply.send(Err(fate));
                 Reply::Nobody
             }
-            (Effect::Tell { fate, .. }, Reply::Fate(sender)) => {
+            (Effect::ReplyFate { fate, .. }, Reply::Fate(sender)) => {
                 let _ = sender.send(fate);
                 Reply::Nobody
             }
-            (Effect::Crash { running, alone }, Reply::Crash(sender)) => {
+            (Effect::Crash { bodies: running, ran_alone: alone }, Reply::Crash(sender)) => {
                 // Whoever asked may have gone; the bodies stay suspected at the entries.
                 let _ = sender.send(self.crashes.crash(running, alone));
                 Reply::Nobody
             }
-            (Effect::Clear(body), reply) => {
+            (Effect::ClearSuspect(body), reply) => {
                 self.crashes.clear(body);
                 reply
             }
--- a/components/agent/src/crashes.rs
+++ b/components/agent/src/crashes.rs
@@ -58,9 +58,9 @@
     /// Looks into a run whose connection broke. It returns once a crash is on record, or can't be
     /// put there in time, so that whoever sends the request again is met by the record.
     pub async fn look(&self, id: Id) {
-        self.control.event(Event::Lost(id));
+        self.control.event(Event::ConnectionBroken(id));
         if self.lives().await {
-            return self.control.event(Event::Lives);
+            return self.control.event(Event::TargetStillRunning);
         }
         if let Some(crash) = self.control.died().await {
             error!(bodies = crash.running.len(), alone = crash.alone, "the target died");
--- a/components/agent/src/orders.rs
+++ b/components/agent/src/orders.rs
@@ -79,12 +79,14 @@
 
 async fn carry_out(engine: SocketAddr, effect: Effect) -> Event {
     match effect {
-        Effect::Read => {
+        Effect::ReadSetup => {
             let read = within(call(engine, Method::GET, Bytes::new(), None)).await;
             let setup = read.and_then(|body| Ok(serde_json::from_slice::<Setup>(&body)?));
-            Event::Read(setup.inspect_err(|error| warn!(%error, "the engine tells no setup")).ok())
+            Event::SetupRead(
+                setup.inspect_err(|error| warn!(%error, "the engine tells no setup")).ok(),
+            )
         }
-        Effect::Send { order, fence, until } => {
+        Effect::SendOrder { order, fence, lease_until: until } => {
             let body = serde_json::to_vec(&Fenced { fence, order: order.clone() });
             let body = body.expect("an order is JSON").into();
             let sent = within(call(engine, Method::POST, body, until)).await;
@@ -92,7 +94,7 @@
                 Ok(_) => info!(?order, fence, "order carried out"),
                 Err(error) => warn!(?order, fence, %error, "order not known to be carried out"),
             }
-            Event::Ended { done: sent.is_ok() }
+            Event::OrderEnded { is_confirmed: sent.is_ok() }
         }
     }
 }
--- a/components/bench/src/carry.rs
+++ b/components/bench/src/carry.rs
@@ -49,14 +49,14 @@
 
     pub(crate) fn open_agent(&self, target: usize) -> agent::State {
         let engine = self.workload.pools[self.site.targets[target].pool].engine;
-        let room = agent::Room {
+        let room = agent::Capacity {
             slots: engine.slots,
-            tokens: engine.tokens,
-            waiting: AGENT_WAITING,
-            grant: GRANT,
+            max_tokens: engine.tokens,
+            max_waiting: AGENT_WAITING,
+            grant_lifetime: GRANT,
         };
         let policy = match self.policy {
-            Policy::First => agent::Policy::first(),
+            Policy::First => agent::Policy::without_rules(),
             _ => agent::Policy::default(),
         };
         agent::open_with(room, policy)
@@ -207,7 +207,7 @@
                 let event = entry::Event::NotStarted { id, unreachable: false };
                 self.tell_entry(entry, target, event);
             }
-            agent::Effect::Tell { fate, .. } => self.tally.message(bytes(&fate)),
+            agent::Effect::ReplyFate { fate, .. } => self.tally.message(bytes(&fate)),
             _ => {}
         }
     }
--- a/components/evidence/src/recorder/agent.rs
+++ b/components/evidence/src/recorder/agent.rs
@@ -84,7 +84,7 @@
             Event::Reserve(ask) => {
                 self.waiting.insert(ask.id, ask.rank);
             }
-            Event::Cancel(id) | Event::Settle(id) => {
+            Event::Cancel(id) | Event::Resolve(id) => {
                 self.waiting.remove(id);
             }
             Event::Ended(id) => {
@@ -107,7 +107,7 @@
             Effect::Deny { id, denial } => {
                 let rank = self.waiting.remove(id);
                 if let Some(rank) = rank.filter(|_| denial.reason == Reason::Overloaded) {
-                    let left_waiting = state.lowest_waiting();
+                    let left_waiting = state.lowest_waiting_rank();
                     facts.push(Fact::Eviction(Eviction { id: *id, rank, left_waiting }));
                 }
             }
--- a/components/scheduler/benches/support/mod.rs
+++ b/components/scheduler/benches/support/mod.rs
@@ -18,7 +18,7 @@
     resource::{Account, Backing, Desired, Pool, Target, Tier},
 };
 use scheduler::{
-    agent::{self, Room},
+    agent::{self, Capacity},
     claim, config,
     entry::{self, Call, Event, Record, Request},
     membership as members,
@@ -53,12 +53,16 @@
 }
 
 /// Returns an agent with all slots in use, `waiting` reservations in its queue, and the tombstones of
-/// [`agent::TOMBSTONE_LIFE`].
+/// [`agent::TOMBSTONE_LIFETIME`].
 pub fn agent(slots: usize, waiting: usize) -> AgentBench {
-    let room =
-        Room { slots, tokens: u64::MAX, waiting: waiting + slots + 1, grant: GRANT_LIFETIME };
+    let capacity = Capacity {
+        slots,
+        max_tokens: u64::MAX,
+        max_waiting: waiting + slots + 1,
+        grant_lifetime: GRANT_LIFETIME,
+    };
     let mut agent = AgentBench {
-        state: agent::open(room),
+        state: agent::open(capacity),
         now: Instant::now(),
         next_request: 0,
         running: Default::default(),
@@ -66,7 +70,7 @@
     for _ in 0..slots + waiting {
         agent.reserve();
     }
-    let cycle_count = agent::TOMBSTONE_LIFE.as_nanos() / REQUEST_INTERVAL.as_nanos() + 1;
+    let cycle_count = agent::TOMBSTONE_LIFETIME.as_nanos() / REQUEST_INTERVAL.as_nanos() + 1;
     for _ in 0..cycle_count {
         agent.run_life_cycle();
     }
--- a/components/scheduler/examples/window.rs
+++ b/components/scheduler/examples/window.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use scheduler::agent::Room;
+use scheduler::agent::Capacity;
 use world::{ENTRIES, TARGETS, TIERS, World};
 
 /// Time that a message takes between two processes; one step of the simulation.
@@ -33,7 +33,10 @@
 fn simulate_load(load: f64) {
     let grant = Duration::from_millis(200);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut world = world::open(Room { slots: SLOTS, tokens: 10_000, waiting: 8, grant }, 4_096);
+    let mut world = world::open(
+        Capacity { slots: SLOTS, max_tokens: 10_000, max_waiting: 8, grant_lifetime: grant },
+        4_096,
+    );
     let arrivals_per_step = load * (TARGETS * SLOTS) as f64 / MEAN_RUN_STEPS;
     for _ in 0..STEP_COUNT {
         simulate_step(&mut world, &mut rng, arrivals_per_step);
--- a/components/scheduler/src/agent/estimate.rs
+++ b/components/scheduler/src/agent/estimate.rs
@@ -22,30 +22,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
     /// Whether requests that are expected to miss their deadline are denied at once.
-    pub cut_off: bool,
+    pub denies_late_requests: bool,
     /// Whether grants may exceed the slots to compensate for the time between a grant and its start,
     /// in which the slot is idle.
-    pub ahead: bool,
+    pub allows_extra_grants: bool,
     /// Whether the latest deadline in a tier is granted first, instead of the earliest. When a tier's
     /// demand exceeds its capacity, earliest-first order grants each request so late that its answer
     /// misses the deadline.
-    pub newest: bool,
+    pub is_latest_deadline_first: bool,
     /// Guaranteed share of the work for each tier, from 0 to 1, regardless of the demand of higher
     /// tiers, so that overload in higher tiers can't starve a lower one. 0 disables the guarantee.
-    pub floor: f64,
+    pub min_tier_share: f64,
 }
 
 impl Default for Policy {
     fn default() -> Policy {
-        Policy { cut_off: true, ahead: true, newest: false, floor: 0.0 }
+        Policy {
+            denies_late_requests: true,
+            allows_extra_grants: true,
+            is_latest_deadline_first: false,
+            min_tier_share: 0.0,
+        }
     }
 }
 
 impl Policy {
     /// Returns the policy with every rule disabled: no deadline check, no extra grants, earliest
     /// deadline first, no guaranteed share.
-    pub fn first() -> Policy {
-        Policy { cut_off: false, ahead: false, newest: false, floor: 0.0 }
+    pub fn without_rules() -> Policy {
+        Policy {
+            denies_late_requests: false,
+            allows_extra_grants: false,
+            is_latest_deadline_first: false,
+            min_tier_share: 0.0,
+        }
     }
 }
 
@@ -67,7 +77,8 @@
     /// Returns the estimated run time of some work; zero while there is no estimate or deadlines aren't
     /// checked.
     fn run_time(&self, now: Instant, work: u64) -> Duration {
-        let run_time = self.run_times.estimate(now, work).filter(|_| self.policy.cut_off);
+        let run_time =
+            self.run_times.estimate(now, work).filter(|_| self.policy.denies_late_requests);
         run_time.unwrap_or(Duration::ZERO)
     }
 
@@ -100,8 +111,11 @@
     /// Returns the number of requests that may run or hold a grant at the same time, including grants
     /// beyond the slots.
     pub(super) fn grantable_slots(&self) -> usize {
-        let extra_grants =
-            if self.policy.ahead { self.run_times.extra_grants(self.room.slots) } else { 0 };
-        self.room.slots + extra_grants
+        let extra_grants = if self.policy.allows_extra_grants {
+            self.run_times.extra_grants(self.capacity.slots)
+        } else {
+            0
+        };
+        self.capacity.slots + extra_grants
     }
 }
--- a/components/scheduler/src/agent/event.rs
+++ b/components/scheduler/src/agent/event.rs
@@ -16,29 +16,29 @@
     Cancel(Id),
     /// An entry asks for the final state of a reservation; a reservation that hasn't started is
     /// cancelled, so that the answer can't change afterwards.
-    Settle(Id),
+    Resolve(Id),
     /// The target's answer to a request is complete; `Ended` follows.
-    Served(Id),
-    /// The connection of a running request broke; `Ended` follows, and `Died` or `Lives` once a new
-    /// connection attempt shows whether the target crashed.
-    Lost(Id),
+    AnswerCompleted(Id),
+    /// The connection of a running request broke; `Ended` follows, and `TargetCrashed` or
+    /// `TargetStillRunning` once a new connection attempt shows whether the target crashed.
+    ConnectionBroken(Id),
     /// The target no longer accepts connections: it crashed.
-    Died,
+    TargetCrashed,
     /// The target accepts connections: the broken connections were not caused by a crash.
-    Lives,
+    TargetStillRunning,
     /// The target no longer processes a request, whether it succeeded, failed or was cancelled.
     Ended(Id),
     /// A configuration offset was received from another process or applied by this one.
-    Heard(Offset),
+    OffsetReceived(Offset),
     /// Number of requests that the target can run at the same time; 0 counts as 1.
-    Sized(usize),
+    SlotsChanged(usize),
     /// Whether the target accepts requests; while it doesn't, nothing is granted and all waiting and
     /// new reservations are denied.
-    Reached(bool),
+    ReachabilityChanged(bool),
     /// An entry reports what it last received about the target's rate limit.
-    Limited(Limit),
+    RateLimitReported(Limit),
     /// Number of requests in flight at the target that were sent without a reservation at this agent.
-    Unreserved(usize),
+    UnreservedRequestsChanged(usize),
     /// The process shuts down: waiting and new reservations are denied, granted and running ones finish.
     Drain,
     /// Time has passed and nothing else has happened; due at the time returned by `next_wake`.
@@ -72,8 +72,8 @@
         /// State of the reservation, which explains the rejection.
         fate: Fate,
     },
-    /// Reply to a `Cancel` or `Settle` event.
-    Tell {
+    /// Reply to a `Cancel` or `Resolve` event.
+    ReplyFate {
         /// The reservation that the event was about.
         id: Id,
         /// State of the reservation after the event.
@@ -82,12 +82,12 @@
     /// Append a record that the target crashed to the log of crashes.
     Crash {
         /// Bodies that were running at the target and are in no earlier crash record of this agent.
-        running: Vec<Fingerprint>,
-        /// Whether `running` has one body only, and that body was already suspected.
-        alone: bool,
+        bodies: Vec<Fingerprint>,
+        /// Whether `bodies` has one body only, and that body was already suspected.
+        ran_alone: bool,
     },
     /// Append a record that a suspected body ran alone and completed without a crash.
-    Clear(Fingerprint),
+    ClearSuspect(Fingerprint),
     /// The agent is draining and has no waiting, granted or running reservations left. Returned after
     /// every later event too.
     Drained,
--- a/components/scheduler/src/agent/mod.rs
+++ b/components/scheduler/src/agent/mod.rs
@@ -32,9 +32,9 @@
 
 /// Time for which the final state of an ended reservation is kept, so that late or repeated messages
 /// about the reservation are answered correctly.
-pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(600);
+pub const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(600);
 /// Time after the last eviction for which [`Load::floor`] reports the lowest rank number evicted.
-pub const SHED_LIFE: Duration = Duration::from_secs(1);
+pub const SHED_TIER_REPORT_DURATION: Duration = Duration::from_secs(1);
 /// Lower limit of the retry delay that a denial suggests.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Upper limit of the retry delay that a denial suggests.
@@ -42,17 +42,17 @@
 
 /// Capacity limits of a target, of its queue and of its grants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Room {
-    /// Maximum number of requests that run or hold a grant at the same time; [`Policy::ahead`] allows
-    /// more.
+pub struct Capacity {
+    /// Maximum number of requests that run or hold a grant at the same time;
+    /// [`Policy::allows_extra_grants`] allows more.
     pub slots: usize,
     /// Maximum sum of the tokens (prompt plus maximum output) of all running and granted requests. A
     /// request that is larger than this limit is granted when nothing else holds a slot.
-    pub tokens: u64,
+    pub max_tokens: u64,
     /// Maximum number of waiting reservations; beyond it the last one in the queue is evicted.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Time within which a grant must be started before it expires.
-    pub grant: Duration,
+    pub grant_lifetime: Duration,
 }
 
 /// State of a reservation that hasn't ended.
@@ -97,7 +97,7 @@
 /// State of the agent's reducer.
 #[derive(Clone, Debug)]
 pub struct State {
-    room: Room,
+    capacity: Capacity,
     policy: Policy,
     /// Waiting reservations in queue order; each has a `Stage::Waiting` in `active`.
     queue: Queue,
@@ -135,16 +135,16 @@
 }
 
 /// Returns the initial state of an agent whose target is idle, with the default policy.
-pub fn open(room: Room) -> State {
-    open_with(room, Policy::default())
+pub fn open(capacity: Capacity) -> State {
+    open_with(capacity, Policy::default())
 }
 
 /// Returns the initial state of an agent whose target is idle, with the given policy.
-pub fn open_with(room: Room, policy: Policy) -> State {
+pub fn open_with(capacity: Capacity, policy: Policy) -> State {
     State {
-        room,
+        capacity,
         policy,
-        queue: queue::new(policy.newest),
+        queue: queue::new(policy.is_latest_deadline_first),
         active: BTreeMap::new(),
         grant_expiries: BTreeSet::new(),
         final_fates: BTreeMap::new(),
@@ -152,7 +152,7 @@
         held_slots: 0,
         held_tokens: 0,
         run_times: pace::new(),
-        prefix_cache: prefixes::new(room.tokens),
+        prefix_cache: prefixes::new(capacity.max_tokens),
         tier_shares: TierShares::default(),
         shed_tier: None,
         highest_offset: 0,
@@ -173,17 +173,21 @@
     match event {
         Event::Reserve(ask) => state.reserve(now, ask, &mut effects),
         Event::Start(id) => state.start(now, id, &mut effects),
-        Event::Cancel(id) | Event::Settle(id) => state.cancel(now, id, &mut effects),
-        Event::Served(id) => effects.extend(state.suspects.body_run_alone(id).map(Effect::Clear)),
-        Event::Lost(id) => state.suspects.add_broken_run(id),
-        Event::Died => state.record_crash(now, &mut effects),
-        Event::Lives => state.suspects.clear_broken_runs(),
+        Event::Cancel(id) | Event::Resolve(id) => state.cancel(now, id, &mut effects),
+        Event::AnswerCompleted(id) => {
+            effects.extend(state.suspects.body_run_alone(id).map(Effect::ClearSuspect))
+        }
+        Event::ConnectionBroken(id) => state.suspects.add_broken_run(id),
+        Event::TargetCrashed => state.record_crash(now, &mut effects),
+        Event::TargetStillRunning => state.suspects.clear_broken_runs(),
         Event::Ended(id) => state.end(now, id),
-        Event::Heard(offset) => state.highest_offset = state.highest_offset.max(offset),
-        Event::Sized(slots) => state.room.slots = slots.max(1),
-        Event::Reached(is_reachable) => state.set_reachable(now, is_reachable, &mut effects),
-        Event::Limited(limit) => state.update_rate_limit(now, limit),
-        Event::Unreserved(requests) => state.unreserved_requests = requests,
+        Event::OffsetReceived(offset) => state.highest_offset = state.highest_offset.max(offset),
+        Event::SlotsChanged(slots) => state.capacity.slots = slots.max(1),
+        Event::ReachabilityChanged(is_reachable) => {
+            state.set_reachable(now, is_reachable, &mut effects)
+        }
+        Event::RateLimitReported(limit) => state.update_rate_limit(now, limit),
+        Event::UnreservedRequestsChanged(requests) => state.unreserved_requests = requests,
         Event::Drain => state.drain(now, &mut effects),
         Event::Tick => {}
     }
@@ -218,13 +222,13 @@
 
     /// Returns the rank of the lowest tier that has a waiting reservation; `None` if the queue is
     /// empty.
-    pub fn lowest_waiting(&self) -> Option<Rank> {
+    pub fn lowest_waiting_rank(&self) -> Option<Rank> {
         self.queue.last().map(|waiting| waiting.rank)
     }
 
     /// Returns the mean time between two requests that the target's rate limit allows; `None` if no
     /// rate limit is known.
-    pub fn limit(&self) -> Option<Duration> {
+    pub fn rate_limit_interval(&self) -> Option<Duration> {
         self.rate_limit?.interval
     }
 
@@ -280,7 +284,7 @@
         // Free slots are granted before the queue length is checked: a grant may shorten the queue so
         // that no reservation must be evicted.
         self.issue_grants(now, effects);
-        if self.queue.len() > self.room.waiting {
+        if self.queue.len() > self.capacity.max_waiting {
             self.evict_last(now, effects);
         }
     }
@@ -289,7 +293,12 @@
         match self.active.get(&id).copied() {
             Some(Stage::Granted { expires_at, usage }) => {
                 self.grant_expiries.remove(&GrantExpiry { at: expires_at, id });
-                self.run_times.start(now, id, expires_at - self.room.grant, usage.work);
+                self.run_times.start(
+                    now,
+                    id,
+                    expires_at - self.capacity.grant_lifetime,
+                    usage.work,
+                );
                 self.active.insert(id, Stage::Running { started_at: now, usage });
                 effects.push(Effect::Dispatch(id));
             }
@@ -317,7 +326,7 @@
             None if !self.final_fates.contains_key(&id) => self.record_end(now, id, Fate::Unknown),
             Some(Stage::Running { .. }) | None => {}
         }
-        effects.push(Effect::Tell { id, fate: self.fate(id) });
+        effects.push(Effect::ReplyFate { id, fate: self.fate(id) });
     }
 
     fn end(&mut self, now: Instant, id: Id) {
@@ -338,7 +347,7 @@
         let running: Vec<Id> = running.map(|(id, _)| *id).collect();
         let (running, alone) = self.suspects.record_crash(now, &running);
         if !running.is_empty() {
-            effects.push(Effect::Crash { running, alone });
+            effects.push(Effect::Crash { bodies: running, ran_alone: alone });
         }
     }
 
@@ -383,7 +392,7 @@
         while let Some(next) = self.next_to_grant() {
             let (id, queue_key) = (next.id, next.queue_key);
             let has_tokens =
-                self.held_tokens + next.tokens <= self.room.tokens || self.held_slots == 0;
+                self.held_tokens + next.tokens <= self.capacity.max_tokens || self.held_slots == 0;
             if let Some(remaining_ban) = self.suspects.remaining_ban(now, id) {
                 self.queue.remove(&queue_key);
                 self.deny_banned(now, id, remaining_ban, effects);
@@ -412,24 +421,24 @@
             self.prefix_cache.insert(&waiting.prefix);
             self.tier_shares.grant(waiting.rank, waiting.work);
             self.suspects.add_grant(waiting.id);
-            let expires_at = now + self.room.grant;
+            let expires_at = now + self.capacity.grant_lifetime;
             let is_rate_limited = self.pacer.is_some();
             let usage = Usage { tokens: waiting.tokens, work: waiting.work, is_rate_limited };
             self.active.insert(waiting.id, Stage::Granted { expires_at, usage });
             self.grant_expiries.insert(GrantExpiry { at: expires_at, id: waiting.id });
-            let grant = Grant { life: self.room.grant, load: self.load() };
+            let grant = Grant { life: self.capacity.grant_lifetime, load: self.load() };
             effects.push(Effect::Grant { id: waiting.id, grant });
         }
     }
 
     /// Returns the reservation to grant next: the first in the queue, unless tiers have a guaranteed
-    /// share (`Policy::floor`) and the first tier below its share comes later in the queue.
+    /// share (`Policy::min_tier_share`) and the first tier below its share comes later in the queue.
     fn next_to_grant(&self) -> Option<&WaitingReservation> {
         let is_below_floor = |waiting: &&WaitingReservation| {
-            self.tier_shares.share_of(waiting.rank) < self.policy.floor
+            self.tier_shares.share_of(waiting.rank) < self.policy.min_tier_share
         };
         let first = self.queue.first()?;
-        if self.policy.floor == 0.0 || self.queue.last()?.rank == first.rank {
+        if self.policy.min_tier_share == 0.0 || self.queue.last()?.rank == first.rank {
             return Some(first);
         }
         self.queue.iter().find(is_below_floor).or(Some(first))
@@ -475,7 +484,7 @@
             return;
         };
         self.active.remove(&last.id);
-        let expires_at = now + SHED_LIFE;
+        let expires_at = now + SHED_TIER_REPORT_DURATION;
         let rank = self.shed_tier.map_or(last.rank, |shed| shed.rank.min(last.rank));
         self.shed_tier = Some(ShedTier { rank, expires_at });
         self.end_with_denial(now, last.id, Fate::Evicted, Reason::Overloaded, effects);
@@ -495,7 +504,7 @@
 
     fn denial(&self, id: Id, reason: Reason) -> Effect {
         let waiting = u32::try_from(self.queue.len() + 1).unwrap_or(u32::MAX);
-        let slots = u32::try_from(self.room.slots).unwrap_or(u32::MAX);
+        let slots = u32::try_from(self.capacity.slots).unwrap_or(u32::MAX);
         let drain_time = self.run_times.mean_run_time().saturating_mul(waiting) / slots;
         let retry_after = drain_time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Effect::Deny { id, denial: Denial { reason, retry_after, load: self.load() } }
@@ -516,7 +525,7 @@
     fn record_end(&mut self, now: Instant, id: Id, fate: Fate) {
         self.suspects.remove(id);
         self.final_fates.insert(id, fate);
-        self.tombstones.push_back(Tombstone { expires_at: now + TOMBSTONE_LIFE, id });
+        self.tombstones.push_back(Tombstone { expires_at: now + TOMBSTONE_LIFETIME, id });
     }
 
     fn fate(&self, id: Id) -> Fate {
--- a/components/scheduler/src/order.rs
+++ b/components/scheduler/src/order.rs
@@ -30,18 +30,18 @@
     /// The membership stream was read to its end, which shows whether this run is the newest member.
     Confirmed {
         /// When the call that read the stream began.
-        asked: Instant,
+        read_started_at: Instant,
         /// Fencing number of this run; `None` if this run isn't the target's current member.
         fence: Option<Offset>,
     },
     /// The operator's desired setup of the target; `None` if the engine's setup isn't managed.
-    Desired(Option<Setup>),
+    DesiredSetupChanged(Option<Setup>),
     /// A read of the engine's setup finished; `None` if the read failed.
-    Read(Option<Setup>),
+    SetupRead(Option<Setup>),
     /// An order was executed, rejected, lost, or not sent.
-    Ended {
+    OrderEnded {
         /// Whether the engine confirmed that it executed the order.
-        done: bool,
+        is_confirmed: bool,
     },
     /// Time has passed and nothing else has happened; due at the time returned by [`next_wake`].
     Tick,
@@ -50,17 +50,17 @@
 /// Output of the reducer, which the caller carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Read the engine's setup; the result comes back as [`Event::Read`].
-    Read,
-    /// Send an order to the engine; the result comes back as [`Event::Ended`].
-    Send {
+    /// Read the engine's setup; the result comes back as [`Event::SetupRead`].
+    ReadSetup,
+    /// Send an order to the engine; the result comes back as [`Event::OrderEnded`].
+    SendOrder {
         /// Change that the engine must make.
         order: Order,
         /// Fencing number of this run, sent with the order.
         fence: Offset,
         /// End of the lease: at or after this time the order must not be sent, which the caller checks
         /// just before writing it. `None` if the engine checks the fencing number.
-        until: Option<Instant>,
+        lease_until: Option<Instant>,
     },
 }
 
@@ -107,15 +107,15 @@
 /// Applies one event to the state and returns the effect that the caller must carry out, if any.
 pub fn reduce(state: &mut State, now: Instant, event: Event) -> Option<Effect> {
     match event {
-        Event::Confirmed { asked, fence } => state.confirm(now, asked, fence),
-        Event::Desired(desired) => state.desired = desired,
-        Event::Read(actual) => {
+        Event::Confirmed { read_started_at: asked, fence } => state.confirm(now, asked, fence),
+        Event::DesiredSetupChanged(desired) => state.desired = desired,
+        Event::SetupRead(actual) => {
             state.is_call_in_flight = false;
             state.next_read_at =
                 now + if actual.is_some() { SETUP_READ_PERIOD } else { RETRY_DELAY };
             state.actual = actual;
         }
-        Event::Ended { done } => {
+        Event::OrderEnded { is_confirmed: done } => {
             state.is_call_in_flight = false;
             // Whatever the result of the order, the setup is read again before the next order, since
             // an order without a confirmation may have been executed too.
@@ -177,10 +177,12 @@
             _ => None,
         };
         let effect = match order {
-            Some(order) => {
-                Effect::Send { order, fence, until: (!self.checks_fence).then_some(lease_until) }
-            }
-            None if self.next_read_at <= now => Effect::Read,
+            Some(order) => Effect::SendOrder {
+                order,
+                fence,
+                lease_until: (!self.checks_fence).then_some(lease_until),
+            },
+            None if self.next_read_at <= now => Effect::ReadSetup,
             None => return None,
         };
         self.is_call_in_flight = true;
--- a/components/scheduler/tests/agent.rs
+++ b/components/scheduler/tests/agent.rs
@@ -7,13 +7,18 @@
     refusal::Reason,
     reservation::{Ask, Fate, Id},
 };
-use scheduler::agent::{self, Effect, Event, Room, State};
+use scheduler::agent::{self, Capacity, Effect, Event, State};
 use uuid::Uuid;
 
 const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 
 fn open(slots: usize, waiting: usize) -> State {
-    agent::open(Room { slots, tokens: 1_000, waiting, grant: GRANT_LIFETIME })
+    agent::open(Capacity {
+        slots,
+        max_tokens: 1_000,
+        max_waiting: waiting,
+        grant_lifetime: GRANT_LIFETIME,
+    })
 }
 
 fn id(request: u128) -> Id {
@@ -110,10 +115,10 @@
     let mut state = open(1, 8);
     agent::reduce(&mut state, now, Event::Reserve(ask(1, 0)));
 
-    let reply = agent::reduce(&mut state, now, Event::Settle(id(1)));
+    let reply = agent::reduce(&mut state, now, Event::Resolve(id(1)));
     let late_effects = agent::reduce(&mut state, now, Event::Start(id(1)));
 
-    assert_eq!(reply, [Effect::Tell { id: id(1), fate: Fate::Cancelled }]);
+    assert_eq!(reply, [Effect::ReplyFate { id: id(1), fate: Fate::Cancelled }]);
     assert_eq!(late_effects, [Effect::DenyStart { id: id(1), fate: Fate::Cancelled }]);
 }
 
@@ -122,9 +127,9 @@
 fn the_fate_of_an_unknown_reservation_is_reported_as_unknown() {
     let mut state = open(1, 8);
 
-    let effects = agent::reduce(&mut state, Instant::now(), Event::Settle(id(1)));
+    let effects = agent::reduce(&mut state, Instant::now(), Event::Resolve(id(1)));
 
-    assert_eq!(effects, [Effect::Tell { id: id(1), fate: Fate::Unknown }]);
+    assert_eq!(effects, [Effect::ReplyFate { id: id(1), fate: Fate::Unknown }]);
 }
 
 #[test]
@@ -157,7 +162,7 @@
     let reply = agent::reduce(&mut state, now, Event::Cancel(id(1)));
     let late_effects = agent::reduce(&mut state, now, Event::Reserve(ask(1, 0)));
 
-    assert_eq!(reply, [Effect::Tell { id: id(1), fate: Fate::Unknown }]);
+    assert_eq!(reply, [Effect::ReplyFate { id: id(1), fate: Fate::Unknown }]);
     assert_eq!(granted_ids(&late_effects), []);
     assert_eq!(state.load().running, 0);
 }
--- a/components/scheduler/tests/agent_admission.rs
+++ b/components/scheduler/tests/agent_admission.rs
@@ -10,7 +10,7 @@
     refusal::Reason,
     reservation::{Ask, Id},
 };
-use scheduler::agent::{self, Effect, Event, Policy, Room, State};
+use scheduler::agent::{self, Capacity, Effect, Event, Policy, State};
 use test_case::test_case;
 use uuid::Uuid;
 
@@ -18,13 +18,18 @@
 const RUN_TIME: Duration = Duration::from_millis(100);
 
 fn open(slots: usize, policy: Policy) -> State {
-    let room = Room { slots, tokens: u64::MAX, waiting: 1_000, grant: Duration::from_secs(1) };
-    agent::open_with(room, policy)
+    let capacity = Capacity {
+        slots,
+        max_tokens: u64::MAX,
+        max_waiting: 1_000,
+        grant_lifetime: Duration::from_secs(1),
+    };
+    agent::open_with(capacity, policy)
 }
 
 /// Returns the policy that the agent uses as admission control.
 fn admission_policy() -> Policy {
-    Policy { floor: 0.05, newest: true, ..Policy::first() }
+    Policy { min_tier_share: 0.05, is_latest_deadline_first: true, ..Policy::without_rules() }
 }
 
 fn id(request: u128) -> Id {
@@ -68,11 +73,11 @@
     agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
     agent::reduce(&mut state, now, reserve(2, 0, 1_000 * MS));
 
-    let on_loss = agent::reduce(&mut state, now, Event::Reached(false));
+    let on_loss = agent::reduce(&mut state, now, Event::ReachabilityChanged(false));
     let while_unreachable = agent::reduce(&mut state, now, reserve(3, 0, 1_000 * MS));
     agent::reduce(&mut state, now, Event::Ended(id(1)));
     agent::reduce(&mut state, now, Event::Cancel(id(1)));
-    agent::reduce(&mut state, now, Event::Reached(true));
+    agent::reduce(&mut state, now, Event::ReachabilityChanged(true));
     let after_return = agent::reduce(&mut state, now, reserve(4, 0, 1_000 * MS));
 
     assert_eq!(denied_reasons(&on_loss), [(id(2), Reason::NoTarget)]);
@@ -85,9 +90,9 @@
     let now = Instant::now();
     let mut state = open(2, admission_policy());
 
-    agent::reduce(&mut state, now, Event::Unreserved(2));
+    agent::reduce(&mut state, now, Event::UnreservedRequestsChanged(2));
     let while_full = agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
-    let with_free_slot = agent::reduce(&mut state, now, Event::Unreserved(1));
+    let with_free_slot = agent::reduce(&mut state, now, Event::UnreservedRequestsChanged(1));
 
     assert_eq!((granted_ids(&while_full), granted_ids(&with_free_slot)), (vec![], vec![id(1)]));
 }
@@ -100,7 +105,7 @@
         agent::reduce(&mut state, now, reserve(request, 0, 1_000 * MS));
     }
 
-    let effects_of_growth = agent::reduce(&mut state, now, Event::Sized(3));
+    let effects_of_growth = agent::reduce(&mut state, now, Event::SlotsChanged(3));
 
     assert_eq!(granted_ids(&effects_of_growth).len(), 2);
 }
@@ -109,7 +114,8 @@
 #[test_case(false => id(2); "the earliest deadline")]
 fn within_a_tier_the_first_grant_goes_to(is_latest_first: bool) -> Id {
     let now = Instant::now();
-    let mut state = open(1, Policy { newest: is_latest_first, ..admission_policy() });
+    let mut state =
+        open(1, Policy { is_latest_deadline_first: is_latest_first, ..admission_policy() });
     agent::reduce(&mut state, now, reserve(1, 0, 1_000 * MS));
     agent::reduce(&mut state, now, reserve(2, 0, 1_000 * MS));
     agent::reduce(&mut state, now + 50 * MS, reserve(3, 0, 1_000 * MS));
@@ -157,7 +163,7 @@
 
 #[test]
 fn without_a_guaranteed_share_an_overloaded_target_serves_only_the_highest_tier() {
-    let [_, lower] = grants_under_overload(Policy { floor: 0.0, ..admission_policy() });
+    let [_, lower] = grants_under_overload(Policy { min_tier_share: 0.0, ..admission_policy() });
 
     assert_eq!(lower, 0);
 }
--- a/components/scheduler/tests/agent_wake.rs
+++ b/components/scheduler/tests/agent_wake.rs
@@ -11,7 +11,7 @@
     prelude::*,
     test_runner::{Config, RngSeed},
 };
-use scheduler::agent::{self, Effect, Event, Room};
+use scheduler::agent::{self, Capacity, Effect, Event};
 use uuid::Uuid;
 
 const DEFAULT_CASES: u32 = 200;
@@ -84,7 +84,7 @@
             Effect::Deny { id, .. } | Effect::Dispatch(id) => {
                 expected_ends.remove(id);
             }
-            Effect::Tell { id, fate } if !matches!(fate, Fate::Waiting | Fate::Granted) => {
+            Effect::ReplyFate { id, fate } if !matches!(fate, Fate::Waiting | Fate::Granted) => {
                 expected_ends.remove(id);
             }
             _ => {}
@@ -101,8 +101,8 @@
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut now = Instant::now();
-        let room = Room { slots: 2, tokens: 100, waiting: 4, grant: GRANT_LIFETIME };
-        let mut state = agent::open(room);
+        let capacity = Capacity { slots: 2, max_tokens: 100, max_waiting: 4, grant_lifetime: GRANT_LIFETIME };
+        let mut state = agent::open(capacity);
         let mut expected_ends = ExpectedEnds::new();
         let mut reserved_numbers = std::collections::BTreeSet::new();
 
--- a/components/scheduler/tests/claiming.rs
+++ b/components/scheduler/tests/claiming.rs
@@ -16,7 +16,7 @@
     reservation::{Grant, Id, Load},
 };
 use scheduler::{
-    agent::Room,
+    agent::Capacity,
     entry::{self, Effect, Event, HOST_ABSENCE_TIMEOUT, Record, Request, State},
 };
 use support::{incarnation_id, join_record, start_time};
@@ -35,7 +35,10 @@
 /// Returns an entry that has read the configuration and the join of one member, `target-0`.
 fn open_entry() -> Entry {
     let grant = Duration::from_millis(200);
-    let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, 8);
+    let mut world = world::open(
+        Capacity { slots: 1, max_tokens: 1_000, max_waiting: 8, grant_lifetime: grant },
+        8,
+    );
     let record = Record { offset: 1, payload: join_record(0, 1, start_time()) };
     let mut entry = Entry { state: world.entries.remove(0), now: world.now };
     entry.handle(Event::Members(vec![record]));
@@ -240,7 +243,10 @@
 #[test]
 fn without_members_a_request_with_a_key_is_refused() {
     let grant = Duration::from_millis(200);
-    let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, 8);
+    let mut world = world::open(
+        Capacity { slots: 1, max_tokens: 1_000, max_waiting: 8, grant_lifetime: grant },
+        8,
+    );
     let mut entry = Entry { state: world.entries.remove(0), now: world.now };
     let mut effects = entry.arrive_with(|_| {});
 
--- a/components/scheduler/tests/cutoff.rs
+++ b/components/scheduler/tests/cutoff.rs
@@ -8,7 +8,7 @@
     refusal::Reason,
     reservation::{Ask, Id},
 };
-use scheduler::agent::{self, Effect, Event, Room, State};
+use scheduler::agent::{self, Capacity, Effect, Event, State};
 use test_case::test_case;
 use uuid::Uuid;
 
@@ -38,7 +38,12 @@
 /// one started at `now`, and whose slot is taken by a further run.
 fn open_busy_agent(now: Instant) -> State {
     let grant = Duration::from_secs(10);
-    let mut state = agent::open(Room { slots: 1, tokens: 1_000_000, waiting: 64, grant });
+    let mut state = agent::open(Capacity {
+        slots: 1,
+        max_tokens: 1_000_000,
+        max_waiting: 64,
+        grant_lifetime: grant,
+    });
     let distant_deadline = Duration::from_secs(600);
     for (request, start) in (1..=TRAINING_RUNS).zip(0_u32..) {
         let started = now + RUN_TIME * start;
--- a/components/scheduler/tests/direct_agents_fuzz.rs
+++ b/components/scheduler/tests/direct_agents_fuzz.rs
@@ -15,7 +15,7 @@
     test_runner::{Config, RngSeed},
 };
 use scheduler::{
-    agent::{self, Policy, Room, State},
+    agent::{self, Capacity, Policy, State},
     direct::{
         self, DenialReason, Effect, Event, Outcome, Reservation, Target, Ticket, plan::Repeat,
     },
@@ -114,11 +114,17 @@
         .collect();
     let entry = |_| configured_process(configuration(1, routes.clone(), None), targets.clone());
     let grant = Duration::from_secs(10);
-    let room = Room { slots: SLOTS_PER_TARGET, tokens: u64::MAX, waiting: 100, grant };
-    let policy = Policy { floor: 0.05, newest: true, ..Policy::first() };
+    let capacity = Capacity {
+        slots: SLOTS_PER_TARGET,
+        max_tokens: u64::MAX,
+        max_waiting: 100,
+        grant_lifetime: grant,
+    };
+    let policy =
+        Policy { min_tier_share: 0.05, is_latest_deadline_first: true, ..Policy::without_rules() };
     World {
         entries: (0..ENTRY_COUNT).map(entry).collect(),
-        agents: (0..TARGET_COUNT).map(|_| agent::open_with(room, policy)).collect(),
+        agents: (0..TARGET_COUNT).map(|_| agent::open_with(capacity, policy)).collect(),
         now: Instant::now(),
         in_flight: BTreeMap::new(),
         open_reservations: BTreeMap::new(),
--- a/components/scheduler/tests/direct_paces.rs
+++ b/components/scheduler/tests/direct_paces.rs
@@ -17,7 +17,7 @@
 use model::reservation::{Ask, Id, Load};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
-    agent::{self, Policy, Room, State},
+    agent::{self, Capacity, Policy, State},
     direct::{Event, Outcome, Reservation, Target, Ticket, plan::Repeat},
 };
 use test_case::test_case;
@@ -62,8 +62,13 @@
 
 /// An agent of a target with one slot.
 fn open_agent() -> State {
-    let room = Room { slots: 1, tokens: u64::MAX, waiting: 8, grant: Duration::from_secs(1) };
-    agent::open_with(room, Policy { newest: true, ..Policy::first() })
+    let capacity = Capacity {
+        slots: 1,
+        max_tokens: u64::MAX,
+        max_waiting: 8,
+        grant_lifetime: Duration::from_secs(1),
+    };
+    agent::open_with(capacity, Policy { is_latest_deadline_first: true, ..Policy::without_rules() })
 }
 
 /// A reservation for an answer of `decode` expected tokens.
--- a/components/scheduler/tests/direct_plain.rs
+++ b/components/scheduler/tests/direct_plain.rs
@@ -20,7 +20,7 @@
 use model::reservation::{Ask, Id};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
-    agent::{self, Policy, Room, State},
+    agent::{self, Capacity, Policy, State},
     direct::{Effect, Event, Outcome, Reservation, Target, Ticket, plan::Repeat},
 };
 use test_case::test_case;
@@ -132,11 +132,13 @@
     let now = entries[0].now;
     entries.iter_mut().for_each(|entry| entry.now = now);
     let grant = Duration::from_secs(1);
-    let room = Room { slots: 1, tokens: u64::MAX, waiting: 1_000, grant };
-    let policy = Policy { floor: 0.05, newest: true, ..Policy::first() };
+    let capacity =
+        Capacity { slots: 1, max_tokens: u64::MAX, max_waiting: 1_000, grant_lifetime: grant };
+    let policy =
+        Policy { min_tier_share: 0.05, is_latest_deadline_first: true, ..Policy::without_rules() };
     Simulation {
         entries,
-        agents: TARGET_SPEEDS.iter().map(|_| agent::open_with(room, policy)).collect(),
+        agents: TARGET_SPEEDS.iter().map(|_| agent::open_with(capacity, policy)).collect(),
         open_reservations: BTreeMap::new(),
         targets: TARGET_SPEEDS.iter().map(|_| TargetCalls::default()).collect(),
         scheduled: BTreeMap::new(),
@@ -190,7 +192,7 @@
             offset: 0,
             body: Default::default(),
         };
-        self.send_to_agent(target, agent::Event::Sized(slots as usize));
+        self.send_to_agent(target, agent::Event::SlotsChanged(slots as usize));
         self.send_to_agent(target, agent::Event::Reserve(ask));
     }
 
--- a/components/scheduler/tests/direct_support/site.rs
+++ b/components/scheduler/tests/direct_support/site.rs
@@ -10,7 +10,7 @@
 use model::reservation::{Ask, Id, Load};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use scheduler::{
-    agent::{self, Policy, Room, State},
+    agent::{self, Capacity, Policy, State},
     direct::{
         self, DenialReason, Effect, Event, Now, Outcome, Request, Reservation, Target, Ticket,
         peers::exchange_period,
@@ -339,9 +339,16 @@
 
 /// Returns the state of a new agent.
 fn agent_state() -> State {
-    let room =
-        Room { slots: 1, tokens: u64::MAX, waiting: 1_000, grant: Duration::from_millis(200) };
-    agent::open_with(room, Policy { floor: 0.05, newest: true, ..Policy::first() })
+    let room = Capacity {
+        slots: 1,
+        max_tokens: u64::MAX,
+        max_waiting: 1_000,
+        grant_lifetime: Duration::from_millis(200),
+    };
+    agent::open_with(
+        room,
+        Policy { min_tier_share: 0.05, is_latest_deadline_first: true, ..Policy::without_rules() },
+    )
 }
 
 impl Simulation {
@@ -405,9 +412,9 @@
             body: Default::default(),
         };
         self.agents.entry((agent, address)).or_insert_with(agent_state);
-        self.send_to_agent((agent, address), agent::Event::Sized(slots as usize));
+        self.send_to_agent((agent, address), agent::Event::SlotsChanged(slots as usize));
         if let Some(limit) = reservation.limit {
-            self.send_to_agent((agent, address), agent::Event::Limited(limit));
+            self.send_to_agent((agent, address), agent::Event::RateLimitReported(limit));
         }
         self.send_to_agent((agent, address), agent::Event::Reserve(ask));
     }
--- a/components/scheduler/tests/dispatch.rs
+++ b/components/scheduler/tests/dispatch.rs
@@ -8,7 +8,7 @@
 use model::{id::Rank, refusal::Ran};
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use scheduler::agent::Room;
+use scheduler::agent::Capacity;
 use world::{ENTRIES, Packet, TARGETS, TIERS, World};
 
 /// Upper bound of the number of steps in a generated case, exclusive.
@@ -147,7 +147,7 @@
 
 fn open_world() -> World {
     let grant = Duration::from_millis(200);
-    world::open(Room { slots: 2, tokens: 1_000, waiting: 3, grant }, 6)
+    world::open(Capacity { slots: 2, max_tokens: 1_000, max_waiting: 3, grant_lifetime: grant }, 6)
 }
 
 fn find_packet(world: &World, matches: fn(&Packet) -> bool) -> usize {
--- a/components/scheduler/tests/order.rs
+++ b/components/scheduler/tests/order.rs
@@ -68,9 +68,12 @@
         });
         // The new run has read its own join record, and its desired setup differs from the previous one.
         let at = self.runs.len() - 1;
-        self.send_event(at, Event::Confirmed { asked: self.now, fence: Some(self.newest_fence) });
+        self.send_event(
+            at,
+            Event::Confirmed { read_started_at: self.now, fence: Some(self.newest_fence) },
+        );
         let version = u8::try_from(self.newest_fence % 3).unwrap();
-        self.send_event(at, Event::Desired(Some(setup(&[version], Role::Both))));
+        self.send_event(at, Event::DesiredSetupChanged(Some(setup(&[version], Role::Both))));
     }
 
     fn send_event(&mut self, run: usize, event: Event) {
@@ -111,7 +114,10 @@
             Step::SetDesired { run, version } => {
                 let run = run.index(runs);
                 if !self.runs[run].is_frozen {
-                    self.send_event(run, Event::Desired(Some(setup(&[version], Role::Both))));
+                    self.send_event(
+                        run,
+                        Event::DesiredSetupChanged(Some(setup(&[version], Role::Both))),
+                    );
                 }
             }
         }
@@ -131,7 +137,7 @@
 
     fn deliver_answer(&mut self, at: usize) {
         if let Some((asked, Some(fence))) = self.runs[at].membership_read.take() {
-            self.send_event(at, Event::Confirmed { asked, fence });
+            self.send_event(at, Event::Confirmed { read_started_at: asked, fence });
         }
     }
 
@@ -148,8 +154,10 @@
     fn carry_out(&mut self, at: usize) {
         match self.runs[at].pending_effect.take() {
             None => {}
-            Some(Effect::Read) => self.send_event(at, Event::Read(Some(self.setup.clone()))),
-            Some(Effect::Send { order, fence, until }) => {
+            Some(Effect::ReadSetup) => {
+                self.send_event(at, Event::SetupRead(Some(self.setup.clone())))
+            }
+            Some(Effect::SendOrder { order, fence, lease_until: until }) => {
                 let is_rejected = self.checks_fence && fence < self.highest_fence;
                 let done = !is_rejected && until.is_none_or(|until| self.now < until);
                 if done {
@@ -157,7 +165,7 @@
                     self.setup.apply(order);
                     self.executed_fences.push(fence);
                 }
-                self.send_event(at, Event::Ended { done });
+                self.send_event(at, Event::OrderEnded { is_confirmed: done });
             }
         }
     }
@@ -236,10 +244,13 @@
 ) -> (State, Instant, Option<Effect>) {
     let now = Instant::now();
     let mut state = order::open(now, checks_fence);
-    let joined = Event::Confirmed { asked: now, fence: Some(7) };
+    let joined = Event::Confirmed { read_started_at: now, fence: Some(7) };
     order::reduce(&mut state, now, joined);
-    assert_eq!(order::reduce(&mut state, now, Event::Desired(Some(desired))), Some(Effect::Read));
-    let first_effect = order::reduce(&mut state, now, Event::Read(Some(actual)));
+    assert_eq!(
+        order::reduce(&mut state, now, Event::DesiredSetupChanged(Some(desired))),
+        Some(Effect::ReadSetup)
+    );
+    let first_effect = order::reduce(&mut state, now, Event::SetupRead(Some(actual)));
     (state, now, first_effect)
 }
 
@@ -254,7 +265,7 @@
     let (_, _, effect) = open_ready(true, desired, actual);
 
     effect.map(|effect| match effect {
-        Effect::Send { order, fence: 7, until: None } => order,
+        Effect::SendOrder { order, fence: 7, lease_until: None } => order,
         other => panic!("{other:?}"),
     })
 }
@@ -265,7 +276,7 @@
 fn an_order_prepared_before_a_freeze_is_not_executed_after_one_of_a_later_run(checks_fence: bool) {
     let mut cluster = open(checks_fence);
     cluster.prepare(0);
-    assert!(matches!(cluster.runs[0].pending_effect, Some(Effect::Send { .. })));
+    assert!(matches!(cluster.runs[0].pending_effect, Some(Effect::SendOrder { .. })));
 
     cluster.start();
     cluster.prepare(1);
@@ -302,22 +313,25 @@
         open_ready(false, setup(&[1], Role::Both), Setup::default());
     let from = now + LEASE_DURATION + CLOCK_DRIFT_MARGIN;
     let at_lease_end = order::reduce(&mut state, from, Event::Tick);
-    order::reduce(&mut state, from, Event::Read(Some(Setup::default())));
+    order::reduce(&mut state, from, Event::SetupRead(Some(Setup::default())));
 
-    let confirmation = Event::Confirmed { asked: from, fence: Some(7) };
+    let confirmation = Event::Confirmed { read_started_at: from, fence: Some(7) };
     let effect = order::reduce(&mut state, from, confirmation);
 
-    assert_eq!((immediate_effect, at_lease_end), (None, Some(Effect::Read)));
+    assert_eq!((immediate_effect, at_lease_end), (None, Some(Effect::ReadSetup)));
     let order = Order::Load(weights(1));
-    assert_eq!(effect, Some(Effect::Send { order, fence: 7, until: Some(from + LEASE_DURATION) }));
+    assert_eq!(
+        effect,
+        Some(Effect::SendOrder { order, fence: 7, lease_until: Some(from + LEASE_DURATION) })
+    );
 }
 
 #[test]
 fn a_run_replaced_by_a_later_one_sends_no_orders() {
     let (mut state, now, _) = open_ready(true, setup(&[1], Role::Both), setup(&[1], Role::Both));
 
-    order::reduce(&mut state, now, Event::Confirmed { asked: now, fence: None });
-    let new_desired = Event::Desired(Some(setup(&[2], Role::Both)));
+    order::reduce(&mut state, now, Event::Confirmed { read_started_at: now, fence: None });
+    let new_desired = Event::DesiredSetupChanged(Some(setup(&[2], Role::Both)));
     let immediate_effect = order::reduce(&mut state, now, new_desired);
     let later_effect = order::reduce(&mut state, now + SETUP_READ_PERIOD, Event::Tick);
 
@@ -329,13 +343,14 @@
 fn after_a_lost_answer_the_setup_is_read_before_the_next_order() {
     let (mut state, now, _) = open_ready(true, setup(&[1], Role::Both), Setup::default());
 
-    let immediate_effect = order::reduce(&mut state, now, Event::Ended { done: false });
+    let immediate_effect =
+        order::reduce(&mut state, now, Event::OrderEnded { is_confirmed: false });
     let later_effect = order::reduce(&mut state, now + RETRY_DELAY, Event::Tick);
-    let loaded_setup = Event::Read(Some(setup(&[1], Role::Both)));
+    let loaded_setup = Event::SetupRead(Some(setup(&[1], Role::Both)));
     let effect_after_read = order::reduce(&mut state, now + RETRY_DELAY, loaded_setup);
 
     assert_eq!(
         (immediate_effect, later_effect, effect_after_read),
-        (None, Some(Effect::Read), None)
+        (None, Some(Effect::ReadSetup), None)
     );
 }
--- a/components/scheduler/tests/refusals.rs
+++ b/components/scheduler/tests/refusals.rs
@@ -14,7 +14,7 @@
     resource::{Account, Limit},
 };
 use scheduler::{
-    agent::Room,
+    agent::Capacity,
     entry::{self, Effect, Event, Record, Request, Settings},
 };
 use test_case::test_case;
@@ -31,7 +31,10 @@
 /// one request at a time.
 fn open_world(max_waiting: usize) -> World {
     let grant = Duration::from_millis(200);
-    world::open(Room { slots: 1, tokens: 1_000, waiting: 8, grant }, max_waiting)
+    world::open(
+        Capacity { slots: 1, max_tokens: 1_000, max_waiting: 8, grant_lifetime: grant },
+        max_waiting,
+    )
 }
 
 /// Sends a request that differs from a valid one by `change`.
--- a/components/scheduler/tests/suspects.rs
+++ b/components/scheduler/tests/suspects.rs
@@ -12,7 +12,7 @@
 };
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 use scheduler::{
-    agent::{self, Effect, Event, Room},
+    agent::{self, Capacity, Effect, Event},
     entry,
     suspect::{self, BodyStatus},
 };
@@ -20,8 +20,12 @@
 use uuid::Uuid;
 use world::Packet;
 
-const CAPACITY: Room =
-    Room { slots: 4, tokens: 1_000, waiting: 64, grant: Duration::from_secs(60) };
+const CAPACITY: Capacity = Capacity {
+    slots: 4,
+    max_tokens: 1_000,
+    max_waiting: 64,
+    grant_lifetime: Duration::from_secs(60),
+};
 const DEADLINE: Duration = Duration::from_secs(5);
 
 fn fingerprint(number: u8) -> Fingerprint {
@@ -87,15 +91,15 @@
         agent::reduce(&mut state, now, reserve(number, fingerprint(number), false));
         agent::reduce(&mut state, now, Event::Start(id(number)));
     }
-    agent::reduce(&mut state, now, Event::Lost(id(1)));
+    agent::reduce(&mut state, now, Event::ConnectionBroken(id(1)));
     agent::reduce(&mut state, now, Event::Ended(id(1)));
 
-    let first_crash = agent::reduce(&mut state, now, Event::Died);
-    agent::reduce(&mut state, now, Event::Lost(id(2)));
-    let second_crash = agent::reduce(&mut state, now, Event::Died);
+    let first_crash = agent::reduce(&mut state, now, Event::TargetCrashed);
+    agent::reduce(&mut state, now, Event::ConnectionBroken(id(2)));
+    let second_crash = agent::reduce(&mut state, now, Event::TargetCrashed);
 
     let running = vec![fingerprint(1), fingerprint(2), fingerprint(3)];
-    assert_eq!(first_crash, [Effect::Crash { running, alone: false }]);
+    assert_eq!(first_crash, [Effect::Crash { bodies: running, ran_alone: false }]);
     assert_eq!(second_crash, []);
 }
 
@@ -107,9 +111,9 @@
     agent::reduce(&mut state, now, reserve(1, fingerprint(7), true));
     agent::reduce(&mut state, now, Event::Start(id(1)));
     agent::reduce(&mut state, now, reserve(2, fingerprint(7), true));
-    agent::reduce(&mut state, now, Event::Lost(id(1)));
+    agent::reduce(&mut state, now, Event::ConnectionBroken(id(1)));
 
-    let mut effects = agent::reduce(&mut state, now, Event::Died);
+    let mut effects = agent::reduce(&mut state, now, Event::TargetCrashed);
     effects.extend(agent::reduce(&mut state, now, Event::Ended(id(1))));
     effects.extend(agent::reduce(&mut state, now, reserve(3, fingerprint(7), true)));
 
@@ -128,11 +132,11 @@
     let mut state = agent::open(CAPACITY);
     agent::reduce(&mut state, now, reserve(1, fingerprint(1), false));
     agent::reduce(&mut state, now, Event::Start(id(1)));
-    agent::reduce(&mut state, now, Event::Lost(id(1)));
-    agent::reduce(&mut state, now, Event::Lives);
+    agent::reduce(&mut state, now, Event::ConnectionBroken(id(1)));
+    agent::reduce(&mut state, now, Event::TargetStillRunning);
     agent::reduce(&mut state, now, Event::Ended(id(1)));
 
-    assert_eq!(agent::reduce(&mut state, now, Event::Died), []);
+    assert_eq!(agent::reduce(&mut state, now, Event::TargetCrashed), []);
 }
 
 #[test]
--- a/components/scheduler/tests/tiers.rs
+++ b/components/scheduler/tests/tiers.rs
@@ -12,7 +12,7 @@
 };
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 use scheduler::{
-    agent::{self, Effect, Event, Room},
+    agent::{self, Capacity, Effect, Event},
     entry::{self, DENIAL_TTL},
 };
 use uuid::Uuid;
@@ -21,7 +21,12 @@
 /// Number of generated cases unless the environment variable `WAGTAILHILL_CASES` sets another one.
 const DEFAULT_CASES: u32 = 500;
 /// Capacity of each target.
-const ROOM: Room = Room { slots: 2, tokens: 100, waiting: 4, grant: Duration::from_millis(50) };
+const ROOM: Capacity = Capacity {
+    slots: 2,
+    max_tokens: 100,
+    max_waiting: 4,
+    grant_lifetime: Duration::from_millis(50),
+};
 
 /// Reference implementation of an agent's queue that sorts all reservations at every step.
 struct ReferenceAgent {
@@ -83,16 +88,16 @@
         self.waiting.sort_by_key(|waiting| (waiting.rank, waiting.deadline, waiting.serial));
         while let Some(best) = self.waiting.first().cloned() {
             let tokens: u64 = self.held.iter().map(|held| held.tokens).sum();
-            let fits = self.held.is_empty() || tokens + best.tokens <= ROOM.tokens;
+            let fits = self.held.is_empty() || tokens + best.tokens <= ROOM.max_tokens;
             if self.held.len() == ROOM.slots || !fits {
                 break;
             }
             self.waiting.remove(0);
             replies.push(Reply::Granted(best.serial));
-            let expires_at = Some(now + ROOM.grant);
+            let expires_at = Some(now + ROOM.grant_lifetime);
             self.held.push(HeldRoom { serial: best.serial, tokens: best.tokens, expires_at });
         }
-        while self.waiting.len() > ROOM.waiting {
+        while self.waiting.len() > ROOM.max_waiting {
             let last = self.waiting.pop().unwrap();
             replies.push(Reply::Denied(last.serial, Reason::Overloaded));
         }
@@ -154,7 +159,7 @@
         let mut now = Instant::now();
         // The reference grants only free slots and has no estimates of run times, so the agent's
         // policies for both are turned off.
-        let policy = agent::Policy { ahead: false, cut_off: false, ..agent::Policy::default() };
+        let policy = agent::Policy { allows_extra_grants: false, denies_late_requests: false, ..agent::Policy::default() };
         let mut state = agent::open_with(ROOM, policy);
         let mut reference = ReferenceAgent { waiting: Vec::new(), held: Vec::new() };
 
@@ -219,7 +224,7 @@
         steps in prop::collection::vec((0..12_u8, any::<Index>(), 1..60_u64), 1..300),
     ) {
         let grant = Duration::from_millis(200);
-        let mut world = world::open(Room { slots: 1, tokens: 1_000, waiting: 2, grant }, 5);
+        let mut world = world::open(Capacity { slots: 1, max_tokens: 1_000, max_waiting: 2, grant_lifetime: grant }, 5);
 
         for (kind, index, millis) in steps {
             let packets = world.network.len();
--- a/components/scheduler/tests/world/mod.rs
+++ b/components/scheduler/tests/world/mod.rs
@@ -23,7 +23,7 @@
     reservation::{Ask, Denial, Fate, Grant, Id},
 };
 use scheduler::{
-    agent::{self, Room},
+    agent::{self, Capacity},
     entry::{self, Event, Record, Settings},
 };
 use uuid::Uuid;
@@ -58,9 +58,9 @@
     Answered { id: Id, answer: StartOutcome },
     /// The connection of a start broke before its answer.
     StartConnectionLost { id: Id },
-    /// An agent answers a `Settle`.
+    /// An agent answers a `Resolve`.
     Settled { id: Id, fate: Fate },
-    /// The connection of a `Settle` broke before its answer.
+    /// The connection of a `Resolve` broke before its answer.
     SettleConnectionLost { id: Id },
 }
 
@@ -123,19 +123,19 @@
     /// Number of the last request.
     last_request: u64,
     /// Capacity of each agent.
-    room: Room,
+    capacity: Capacity,
     /// Most requests that wait at an entry.
     waiting: usize,
 }
 
 /// Creates a world whose entries have applied the whole configuration. Each entry lets at most `waiting`
 /// requests wait.
-pub fn open(room: Room, waiting: usize) -> World {
+pub fn open(capacity: Capacity, waiting: usize) -> World {
     let now = Instant::now();
     World {
         now,
         entries: (0..ENTRIES).map(|_| ready_entry(now, waiting)).collect(),
-        agents: (0..TARGETS).map(|_| agent::open(room)).collect(),
+        agents: (0..TARGETS).map(|_| agent::open(capacity)).collect(),
         network: Vec::new(),
         ran: BTreeMap::new(),
         refused: BTreeMap::new(),
@@ -151,7 +151,7 @@
         starts: BTreeMap::new(),
         running: BTreeMap::new(),
         last_request: 0,
-        room,
+        capacity,
         waiting,
     }
 }
@@ -250,7 +250,7 @@
     /// Restarts an agent with an empty state. The requests that ran on its target end, messages to it are
     /// lost, and the entries that wait for a reply are informed that the connection broke.
     pub fn restart_agent(&mut self, target: usize) {
-        self.agents[target] = agent::open(self.room);
+        self.agents[target] = agent::open(self.capacity);
         self.running.retain(|_, at| *at != target);
         let (lost, kept) = self.network.drain(..).partition(|p| to_target(p) == Some(target));
         self.network = kept;
@@ -338,7 +338,7 @@
         let denials = self.denials.remove(&request).unwrap_or_default();
         let since_denial = |(target, at): (&usize, &Instant)| {
             let is_lower_waiting =
-                self.agents[*target].lowest_waiting().is_some_and(|lowest| lowest > rank);
+                self.agents[*target].lowest_waiting_rank().is_some_and(|lowest| lowest > rank);
             is_lower_waiting.then(|| self.now.duration_since(*at))
         };
         let longest_since_denial = denials.iter().filter_map(since_denial).max();
@@ -348,7 +348,7 @@
 
     /// Lets an agent handle an event and sends the messages that result.
     fn send_to_agent(&mut self, target: usize, event: agent::Event) {
-        let is_settle = matches!(event, agent::Event::Settle(_));
+        let is_settle = matches!(event, agent::Event::Resolve(_));
         for effect in agent::reduce(&mut self.agents[target], self.now, event) {
             match effect {
                 agent::Effect::Grant { id, grant } => {
@@ -362,7 +362,7 @@
                 agent::Effect::DenyStart { id, fate } => {
                     self.network.push(Packet::Answered { id, answer: StartOutcome::Denied(fate) });
                 }
-                agent::Effect::Tell { id, fate } if is_settle => {
+                agent::Effect::ReplyFate { id, fate } if is_settle => {
                     self.network.push(Packet::Settled { id, fate });
                 }
                 _ => {}
@@ -388,7 +388,7 @@
             }
             Packet::Cancel { target, id } => self.send_to_agent(target, agent::Event::Cancel(id)),
             Packet::Start { target, id } => self.send_to_agent(target, agent::Event::Start(id)),
-            Packet::Settle { target, id } => self.send_to_agent(target, agent::Event::Settle(id)),
+            Packet::Settle { target, id } => self.send_to_agent(target, agent::Event::Resolve(id)),
             Packet::Granted { id, grant } => self.deliver_reply(id, Event::Granted { id, grant }),
             Packet::Denied { id, denial } => self.deliver_reply(id, Event::Denied { id, denial }),
             Packet::ReservationConnectionLost { id } if self.calls.contains_key(&id) => {
