--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -8,7 +8,7 @@
 
 use model::reservation::{Ask, Denial, Fate, Grant, Id, Limit, Load};
 use scheduler::{
-    agent::{self, Effect, Event, Policy, Room, State},
+    agent::{self, Capacity, Effect, Event, Policy, State},
     rate,
 };
 use tokio::sync::oneshot;
@@ -48,14 +48,14 @@
 /// Returns an empty queue for a target; an entry process sent its description with a reservation.
 pub fn open(target: Target) -> Queue {
     let slots = target.slots as usize;
-    let room = Room { slots, tokens: u64::MAX, waiting: MAX_WAITING, grant: GRANT_TTL };
+    let room = Capacity { slots, max_tokens: u64::MAX, max_waiting: MAX_WAITING, grant_lifetime: GRANT_TTL };
     info!(address = %target.address, slots, beside = target.beside, "target added");
     Queue {
         // The reducer needn't deny requests that can't meet their deadline: entry processes refuse
         // them, because they know the state of all targets.
         state: agent::open_with(
             room,
-            Policy { floor: MIN_TIER_SHARE, newest: true, ..Policy::first() },
+            Policy { min_tier_share: MIN_TIER_SHARE, is_latest_deadline_first: true, ..Policy::without_rules() },
         ),
         replies: HashMap::new(),
         target,
@@ -85,9 +85,9 @@
     /// Applies the target's rate limit as an entry process last received it; an older one than the
     /// limit in force has no effect.
     pub fn limit(&mut self, limit: Limit) {
-        let before = self.state.limit();
-        self.reduce(Event::Limited(limit));
-        let interval = self.state.limit();
+        let before = self.state.rate_limit_interval();
+        self.reduce(Event::RateLimitReported(limit));
+        let interval = self.state.rate_limit_interval();
         if before != interval {
             let (address, per_second) = (self.target.address, interval.map(rate::rate_at_interval));
             info!(%address, per_second, age_ms = limit.age.as_millis() as u64, "the rate limit changed");
@@ -100,7 +100,7 @@
         if self.target != target {
             self.target = target;
             info!(address = %target.address, slots = target.slots, "the target's size changed");
-            self.reduce(Event::Sized(target.slots as usize));
+            self.reduce(Event::SlotsChanged(target.slots as usize));
         }
         self.replies.insert(ask.id, reply);
         self.reduce(Event::Reserve(ask));
@@ -130,7 +130,7 @@
         if std::mem::replace(&mut self.is_reachable, is_reachable) != is_reachable {
             let address = self.target.address;
             info!(%address, reached = is_reachable, "the target's reachability changed");
-            self.reduce(Event::Reached(is_reachable));
+            self.reduce(Event::ReachabilityChanged(is_reachable));
         }
         let running = self.state.load().running as usize;
         let unreserved = result.unwrap_or_default().saturating_sub(running);
@@ -138,7 +138,7 @@
         // that two probes in a row have found count.
         let persistent = unreserved.min(self.unreserved);
         self.unreserved = unreserved;
-        self.reduce(Event::Unreserved(persistent));
+        self.reduce(Event::UnreservedRequestsChanged(persistent));
     }
 
     /// Feeds an event to the reducer and answers the reservations that it grants or denies.
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -19,7 +19,7 @@
     suspect::Crash,
 };
 use scheduler::{
-    agent::{self, Effect, Event, Room, State},
+    agent::{self, Capacity, Effect, Event, State},
     order,
 };
 use tokio::{
@@ -138,11 +138,11 @@
         Arc::clone(&metrics),
     );
     let orders = orders::open(settings.engine, handle.clone());
-    let room = Room {
+    let room = Capacity {
         slots: settings.room.slots,
-        tokens: settings.room.tokens,
-        waiting: settings.room.waiting,
-        grant: settings.room.grant,
+        max_tokens: settings.room.tokens,
+        max_waiting: settings.room.waiting,
+        grant_lifetime: settings.room.grant,
     };
     let thread = Thread {
         state: agent::open(room),
@@ -275,7 +275,7 @@
     fn drop(&mut self) {
         if self.is_dispatched {
             if self.finish.digest.is_some() {
-                self.control.send_event(Event::Served(self.id));
+                self.control.send_event(Event::AnswerCompleted(self.id));
             }
             self.control.send(Message::Ended { id: self.id, finish: self.finish });
         }
@@ -352,13 +352,13 @@
                 self.waiting_replies.remove(&id);
                 (Event::Cancel(id), reply.map_or(Reply::None, Reply::Fate))
             }
-            Message::Settle { id, reply } => (Event::Settle(id), Reply::Fate(reply)),
+            Message::Resolve { id, reply } => (Event::Resolve(id), Reply::Fate(reply)),
             Message::Event(event) => (event, Reply::None),
             Message::Ended { id, finish } => {
                 self.recorder.finished(id, finish);
                 (Event::Ended(id), Reply::None)
             }
-            Message::TargetDied(reply) => (Event::Died, Reply::Crash(reply)),
+            Message::TargetDied(reply) => (Event::TargetCrashed, Reply::Crash(reply)),
             Message::Claims(_)
             | Message::Close(_)
             | Message::MembershipConfirmed { .. }
@@ -388,7 +388,7 @@
                 let _ = reply.send(Err(fate));
                 Reply::None
             }
-            (Effect::Tell { fate, .. }, Reply::Fate(sender)) => {
+            (Effect::ReplyFate { fate, .. }, Reply::Fate(sender)) => {
                 let _ = sender.send(fate);
                 Reply::None
             }
@@ -397,7 +397,7 @@
                 let _ = sender.send(self.crashes.crash(running, alone));
                 Reply::None
             }
-            (Effect::Clear(body), reply) => {
+            (Effect::ClearSuspect(body), reply) => {
                 self.crashes.clear(body);
                 reply
             }
--- a/components/agent/src/crashes.rs
+++ b/components/agent/src/crashes.rs
@@ -60,9 +60,9 @@
     /// is recorded or recording it timed out, so that a caller that sends the request again finds
     /// the record.
     pub async fn check(&self, id: Id) {
-        self.control.send_event(Event::Lost(id));
+        self.control.send_event(Event::ConnectionBroken(id));
         if self.is_alive().await {
-            return self.control.send_event(Event::Lives);
+            return self.control.send_event(Event::TargetStillRunning);
         }
         if let Some(crash) = self.control.report_target_death().await {
             error!(bodies = crash.running.len(), alone = crash.alone, "the target died");
