--- a/components/agent/src/admission/queue.rs
+++ b/components/agent/src/admission/queue.rs
@@ -48,14 +48,23 @@
 /// Returns an empty queue for a target; an entry process sent its description with a reservation.
 pub fn open(target: Target) -> Queue {
     let slots = target.slots as usize;
-    let room = Capacity { slots, max_tokens: u64::MAX, max_waiting: MAX_WAITING, grant_lifetime: GRANT_TTL };
+    let room = Capacity {
+        slots,
+        max_tokens: u64::MAX,
+        max_waiting: MAX_WAITING,
+        grant_lifetime: GRANT_TTL,
+    };
     info!(address = %target.address, slots, beside = target.beside, "target added");
     Queue {
         // The reducer needn't deny requests that can't meet their deadline: entry processes refuse
         // them, because they know the state of all targets.
         state: agent::open_with(
             room,
-            Policy { min_tier_share: MIN_TIER_SHARE, is_latest_deadline_first: true, ..Policy::without_rules() },
+            Policy {
+                min_tier_share: MIN_TIER_SHARE,
+                is_latest_deadline_first: true,
+                ..Policy::without_rules()
+            },
         ),
         replies: HashMap::new(),
         target,
--- a/components/agent/src/control.rs
+++ b/components/agent/src/control.rs
@@ -314,7 +314,9 @@
             Message::Orders(event) => return self.orders.handle(event),
             Message::MembershipConfirmed { asked } => {
                 let fence = self.members.borrow().joined;
-                return self.orders.handle(order::Event::Confirmed { asked, fence });
+                return self
+                    .orders
+                    .handle(order::Event::Confirmed { read_started_at: asked, fence });
             }
             other => other,
         };
@@ -352,7 +354,7 @@
                 self.waiting_replies.remove(&id);
                 (Event::Cancel(id), reply.map_or(Reply::None, Reply::Fate))
             }
-            Message::Resolve { id, reply } => (Event::Resolve(id), Reply::Fate(reply)),
+            Message::Settle { id, reply } => (Event::Resolve(id), Reply::Fate(reply)),
             Message::Event(event) => (event, Reply::None),
             Message::Ended { id, finish } => {
                 self.recorder.finished(id, finish);
@@ -392,7 +394,7 @@
                 let _ = sender.send(fate);
                 Reply::None
             }
-            (Effect::Crash { running, alone }, Reply::Crash(sender)) => {
+            (Effect::Crash { bodies: running, ran_alone: alone }, Reply::Crash(sender)) => {
                 // The caller may be gone; then the entry processes still suspect the bodies.
                 let _ = sender.send(self.crashes.crash(running, alone));
                 Reply::None
