--- a/components/agent/src/crashes.rs
+++ b/components/agent/src/crashes.rs
@@ -29,7 +29,7 @@
 /// Timeout of appending a record to the log; the refusal to the caller is delayed until then.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Checks the target after a broken connection.
+/// Checks, after a connection to the target broke, whether the target died.
 pub struct CrashDetector {
     engine: SocketAddr,
     log: Client,
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -111,7 +111,7 @@
     let answer = answer.map_err(|error| failure_outcome(&error))?;
     let (mut head, body) = answer.into_parts();
     let kind = (dialect.classify_answer)(&head, call);
-    // Answers with any other verdict weren't made by this target.
+    // Answers of any other kind weren't made by this target.
     if matches!(kind, AnswerKind::Answer | AnswerKind::Failed | AnswerKind::Rejected) {
         match (dialect.read_rate_limit)(&head) {
             Ok(per_second) => per_second.into_iter().for_each(on_rate_limit),
--- a/components/scheduler/src/agent/prefixes.rs
+++ b/components/scheduler/src/agent/prefixes.rs
@@ -16,7 +16,8 @@
 pub struct PrefixCache {
     /// Maximum number of blocks.
     max_blocks: usize,
-    /// Each block with the value of `use_counter` at its last use.
+    /// The prompt blocks that the target probably caches, each with the value of `use_counter` at its
+    /// last use.
     blocks: BTreeMap<BlockHash, u64>,
     /// The blocks by the value of `use_counter` at their last use.
     blocks_by_use: BTreeMap<u64, BlockHash>,
--- a/components/scheduler/src/claim/mod.rs
+++ b/components/scheduler/src/claim/mod.rs
@@ -362,7 +362,8 @@
         }
     }
 
-    /// Stores the mark of a key for [`RETENTION`] from now on.
+    /// Stores the mark of a key (whether it is free, held or its request ran) for [`RETENTION`] from
+    /// now on.
     fn store(&mut self, now: Instant, key: ClaimKey, mark: Mark) {
         self.table.set(now, key, mark);
         self.handover.mark_changed(key);
--- a/components/scheduler/src/claim/table.rs
+++ b/components/scheduler/src/claim/table.rs
@@ -69,8 +69,8 @@
         self.expiries.push_back(Expiry { at: expires_at, key });
     }
 
-    /// Changes the mark of a stored claim without changing its expiry time; does nothing where the
-    /// key has no claim.
+    /// Changes the mark of a stored claim (whether the key is free, held or its request ran) without
+    /// changing its expiry time; does nothing where the key has no claim.
     pub(super) fn update(&mut self, key: ClaimKey, mark: Mark) {
         if let Some(claim) = self.claims.get_mut(&key) {
             claim.mark = mark;
--- a/components/scheduler/src/direct/allowance.rs
+++ b/components/scheduler/src/direct/allowance.rs
@@ -22,8 +22,9 @@
     /// Units left in the bucket of this process's own part of the limit: at most its part of the burst,
     /// negative after an overshoot.
     own_units: f64,
-    /// Units of the largest recent request with stated tokens; smaller ones wait for as many, so that
-    /// small requests don't starve large ones.
+    /// Units of the largest recent request with stated tokens. A smaller request with stated tokens is
+    /// admitted only while the bucket has at least this many units left or is full, so that small requests
+    /// don't starve large ones.
     recent_largest: f64,
     /// When the buckets were last refilled.
     refilled: Instant,
--- a/components/scheduler/src/direct/capacity.rs
+++ b/components/scheduler/src/direct/capacity.rs
@@ -185,7 +185,7 @@
     }
 
     /// Reports whether the target accepts requests: it is listed and ready, it is not in backoff, and its
-    /// lane isn't closed.
+    /// lane isn't closed: a rollout closes the lane of targets that must take no requests.
     fn is_available(&self, now: Instant) -> bool {
         let is_open = self.is_listed && self.target.is_ready && self.lane != Lane::Closed;
         is_open && self.backoff_until.is_none_or(|until| until <= now)
--- a/components/scheduler/src/direct/crashes.rs
+++ b/components/scheduler/src/direct/crashes.rs
@@ -18,7 +18,7 @@
 
 /// Maximum number of bodies whose counts are kept; one more evicts the body whose last crash is oldest.
 const MAX_BODIES: usize = 1_000;
-/// Time after the last crash of a count at which the count expires.
+/// Time after which a count of crashes expires, from the last crash that it includes.
 const COUNT_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Process that counts crashes: the address on which it listens for other entry processes, and its
--- a/components/scheduler/src/direct/peers.rs
+++ b/components/scheduler/src/direct/peers.rs
@@ -278,7 +278,8 @@
         current.filter_map(|peer| Some(now.saturating_duration_since(peer.row_made?))).max()
     }
 
-    /// Returns the load that other processes put on targets, by their current rows.
+    /// Returns the load that other processes put on targets, as stated in their rows (the state that each
+    /// last sent), if these are current.
     pub fn target_loads(&self, now: Instant) -> impl Iterator<Item = &TargetLoad> {
         let current = self.peers.values().filter(move |peer| self.has_current_row(peer, now));
         current.flat_map(|peer| &peer.row.target_loads)
--- a/components/scheduler/src/direct/relay.rs
+++ b/components/scheduler/src/direct/relay.rs
@@ -42,7 +42,7 @@
 /// so an offset means nothing without its era.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Position {
-    /// Era of the record; compared before the offset.
+    /// Era of the service in which the record was written (see [`Era`]); compared before the offset.
     pub era: Era,
     /// Offset of the record, which grows with each record of an era.
     pub offset: u64,
@@ -138,7 +138,8 @@
     fn may_be_ahead(&self, other: &Known, topic: Topic) -> bool {
         match topic {
             Topic::Targets | Topic::Plan => self.version(topic) > other.version(topic),
-            // Two digests don't show which of them covers more counts.
+            // The version of crash counts is a digest of them, 0 if there are none. Two different digests
+            // don't show which process knows more counts, so either may have some that the other lacks.
             Topic::Crashes => self.crashes != other.crashes && self.crashes != 0,
         }
     }
--- a/components/scheduler/src/direct/reserve.rs
+++ b/components/scheduler/src/direct/reserve.rs
@@ -178,7 +178,8 @@
 
     /// Handles a reservation that ended without a grant. If the agent can't reach its target, starts a
     /// backoff from the target. If the agent itself is unreachable, starts a backoff from the agent; until
-    /// that ends, entry processes share the target's slots by the rows that they exchange.
+    /// that ends, entry processes share the target's slots by the rows that they exchange: the state,
+    /// including the load on each target, that each process sends to the others.
     pub(super) fn handle_denial(
         &mut self,
         now: Instant,
--- a/components/scheduler/src/direct/rollout.rs
+++ b/components/scheduler/src/direct/rollout.rs
@@ -337,8 +337,9 @@
         reports.collect()
     }
 
-    /// Returns the state of each rollout for this process's row. `is_idle` returns whether this process has
-    /// no request in flight at targets of versions other than the one of an order.
+    /// Returns the state of each rollout, for the row that this process sends to its peers. `is_idle`
+    /// takes a rollout order and returns whether this process has no request in flight at targets of
+    /// versions other than the one that the order names.
     pub fn own_rollouts(&self, now: Instant, is_idle: impl Fn(&Order) -> bool) -> Vec<PeerRollout> {
         let rollouts = self.rollouts.values().map(|rollout| PeerRollout {
             order: rollout.order.clone(),
@@ -420,8 +421,8 @@
         }
     }
 
-    /// Returns the number of this process's dispatches to the ordered version of a pool; 0 without a
-    /// rollout.
+    /// Returns the number of this process's dispatches to the version that the rollout order of a pool
+    /// names; 0 without a rollout.
     pub fn dispatched_to_ordered(&self, pool: &str) -> u64 {
         self.rollouts.get(pool).map_or(0, |rollout| rollout.dispatch_totals().1)
     }
--- a/components/scheduler/src/direct/rollout/evidence.rs
+++ b/components/scheduler/src/direct/rollout/evidence.rs
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Whether an answer with these logarithmic times is slow, by its first event or its pace.
+    /// Whether an answer is slow compared to the base version's average, by the time to its first event for
+    /// each token read or by its pace, the time between two events. Both are logarithms.
     fn is_slow(&self, log_first: f64, log_pace: Option<f64>) -> bool {
         let log_slow = SLOW_FACTOR.ln();
         let has_pace = self.paced_answers >= MIN_BASELINE_ANSWERS;
--- a/components/scheduler/src/entry/claiming.rs
+++ b/components/scheduler/src/entry/claiming.rs
@@ -35,7 +35,7 @@
 pub enum Claim {
     /// The request has no key, its claim hasn't been sent yet, or the claim was rejected.
     None,
-    /// The claim was sent to the key's home, or will be.
+    /// The claim was sent to the agent that keeps the key (its home), or will be.
     Asking {
         /// Number of attempts so far.
         tries: u32,
--- a/components/scheduler/src/membership.rs
+++ b/components/scheduler/src/membership.rs
@@ -152,8 +152,10 @@
         Ok(outcome)
     }
 
-    /// Removes the times of records, and the incarnations that ended, before [`WINDOW`]. `now` is
-    /// the wall clock of this process; the window is extended by the error of two clocks.
+    /// Removes the times of the join and leave records that are older than [`WINDOW`], and the
+    /// incarnations that these records ended. `now` is the wall clock of this process, and a
+    /// record's time is that of the host that appended it; so the window is extended by the most
+    /// that two clocks differ by, twice [`CLOCK_ERROR_LIMIT`].
     pub fn prune(&mut self, now: SystemTime) {
         let Some(start) = now.checked_sub(WINDOW + CLOCK_ERROR_LIMIT * 2) else {
             return;
--- a/components/scheduler/src/membership/home.rs
+++ b/components/scheduler/src/membership/home.rs
@@ -90,7 +90,8 @@
 }
 
 impl Candidate<'_> {
-    /// Returns the offsets at which the incarnation was a member.
+    /// Returns the offsets, in the stream of join and leave records, at which the incarnation was a
+    /// member.
     fn span(&self) -> Span {
         let to = self.former.map_or(Offset::MAX, |former| former.left);
         Span { from: self.incarnation.joined, to }
